--- a/crates/lilaccrank/benches/decision.rs
+++ b/crates/lilaccrank/benches/decision.rs
@@ -19,20 +19,20 @@
 const DATA_CENTRE: &str = "portmore";
 const DEADLINE: Duration = Duration::from_secs(86_400);
 /// Time that a request runs.
-const REQUEST: Duration = Duration::from_secs(1);
+const SERVICE_TIME: Duration = Duration::from_secs(1);
 const SLOTS: u32 = 8;
-const TARGETS: [usize; 3] = [10, 100, 700];
+const TARGET_COUNTS: [usize; 3] = [10, 100, 700];
 const TIERS: usize = 4;
-const WAITING: [usize; 4] = [10, 100, 1_000, 10_000];
+const WAITING_COUNTS: [usize; 4] = [10, 100, 1_000, 10_000];
 
 /// A pool with full targets and asks behind them.
-struct Full {
+struct SaturatedPool {
     asks: FuturesUnordered<LocalBoxFuture<'static, Verdict>>,
     clock: PausedClock,
     dispatcher: Dispatcher<PausedClock>,
     next: usize,
     /// Time between two ends.
-    pause: Duration,
+    completion_interval: Duration,
     running: VecDeque<Grant>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-impl Full {
+impl SaturatedPool {
     fn new(waiting: usize, targets: usize) -> Self {
         let cfg = Config {
             block_tokens: BLOCK_TOKENS,
@@ -78,19 +78,19 @@
             ..Pool::default()
         };
         let clock = PausedClock::new();
-        let mut full = Self {
+        let mut saturated = Self {
             asks: FuturesUnordered::new(),
             dispatcher: Dispatcher::new(clock.clone(), cfg),
             clock,
             next: 0,
-            pause: REQUEST / (targets as u32 * SLOTS),
+            completion_interval: SERVICE_TIME / (targets as u32 * SLOTS),
             running: VecDeque::new(),
         };
-        full.dispatcher.set_targets(&pool, DATA_CENTRE);
-        while full.asks.len() < waiting {
-            full.arrive();
+        saturated.dispatcher.set_targets(&pool, DATA_CENTRE);
+        while saturated.asks.len() < waiting {
+            saturated.arrive();
         }
-        full
+        saturated
     }
 
     fn arrive(&mut self) {
@@ -111,7 +111,7 @@
     }
 
     fn decide(&mut self) {
-        self.clock.advance(self.pause);
+        self.clock.advance(self.completion_interval);
         self.arrive();
         let Some(ended) = self.running.pop_front() else {
             panic!("nothing runs");
@@ -137,11 +137,11 @@
         .warm_up_time(Duration::from_millis(300))
         .measurement_time(Duration::from_secs(1));
     let mut group = criterion.benchmark_group("decision");
-    for targets in TARGETS {
-        for waiting in WAITING {
+    for targets in TARGET_COUNTS {
+        for waiting in WAITING_COUNTS {
             let id = BenchmarkId::new(format!("{targets}_targets"), waiting);
-            let mut full = Full::new(waiting, targets);
-            group.bench_function(id, |b| b.iter(|| full.decide()));
+            let mut saturated = SaturatedPool::new(waiting, targets);
+            group.bench_function(id, |b| b.iter(|| saturated.decide()));
         }
     }
     group.finish();
--- a/crates/lilaccrank/tests/suite.rs
+++ b/crates/lilaccrank/tests/suite.rs
@@ -28,24 +28,24 @@
 mod configuration_store;
 #[path = "suite/dispatch_affinity.rs"]
 mod dispatch_affinity;
-#[path = "suite/dispatch_cases.rs"]
-mod dispatch_cases;
 #[path = "suite/dispatch_faults.rs"]
 mod dispatch_faults;
+#[path = "suite/dispatch_fixtures.rs"]
+mod dispatch_fixtures;
 #[path = "suite/dispatch_harness.rs"]
 mod dispatch_harness;
 #[path = "suite/dispatch_inputs.rs"]
 mod dispatch_inputs;
-#[path = "suite/dispatch_lives.rs"]
-mod dispatch_lives;
-#[path = "suite/dispatch_near.rs"]
-mod dispatch_near;
+#[path = "suite/dispatch_locality.rs"]
+mod dispatch_locality;
 #[path = "suite/dispatch_order.rs"]
 mod dispatch_order;
 #[path = "suite/dispatch_overload.rs"]
 mod dispatch_overload;
 #[path = "suite/dispatch_reservation.rs"]
 mod dispatch_reservation;
+#[path = "suite/dispatch_restarts.rs"]
+mod dispatch_restarts;
 #[path = "suite/dispatch_resumed.rs"]
 mod dispatch_resumed;
 #[path = "suite/dispatch_sharing.rs"]
--- a/crates/lilaccrank/tests/suite/dispatch_affinity.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_affinity.rs
@@ -7,13 +7,13 @@
 use lilaccrank::prompt;
 use lilaccrank::target_life::TargetLife;
 
-use crate::dispatch_cases::{FIRST_TOKEN, ask, granted, harness};
+use crate::dispatch_fixtures::{FIRST_TOKEN, ask, granted, harness};
 use crate::dispatch_harness::Harness;
 
 // A long prompt goes to an engine that dropped it. The event of the eviction was lost in a gap.
 // After a gap nothing is believed of that target.
 #[test]
-fn a_gap_drops_the_belief() {
+fn large_sequence_gap_clears_the_cached_blocks() {
     let harness = harness(&[8, 8]);
     let target = TargetLife::from("t1");
     let stored: Vec<CacheEvent> = (0..8).map(CacheEvent::Stored).collect();
@@ -32,7 +32,7 @@
 // Long prompts are read again and again, and answers come late. One event of an eviction was lost,
 // and all that was believed of the target with it. One lost event costs one block, the oldest.
 #[test]
-fn a_small_gap_drops_little() {
+fn lost_event_drops_the_oldest_block() {
     let harness = harness(&[8, 8]);
     let target = TargetLife::from("t1");
     let stored = |sequence: u64| {
@@ -54,25 +54,25 @@
 // nothing in the cache and is read next to it. It waits for the first token of the first one, but
 // no longer than three times its own reading.
 #[test]
-fn a_prefix_in_reading_is_waited_for() {
+fn ask_waits_for_a_prefix_in_prefill() {
     let mut harness = harness(&[8, 8]);
-    let survey = |request: &str, seed: u8, tier: u8| Ask {
+    let ask_with_prefix = |request: &str, seed: u8, tier: u8| Ask {
         prefix: prompt::digests(&[seed; 2000], 64),
         prompt_tokens: 2000,
         ..ask(request, tier)
     };
-    harness.ask(survey("first", 1, 1));
-    let (_, reader) = harness.grants().remove(0);
-    harness.ask(survey("second", 1, 1));
+    harness.ask(ask_with_prefix("first", 1, 1));
+    let (_, prefill_target) = harness.grants().remove(0);
+    harness.ask(ask_with_prefix("second", 1, 1));
     assert_eq!(harness.grants(), []);
-    harness.ask(survey("urgent", 1, 0));
+    harness.ask(ask_with_prefix("urgent", 1, 0));
     assert_eq!(harness.grants().len(), 1);
-    harness.report("first", &reader, FIRST_TOKEN);
-    assert_eq!(harness.grants(), granted("second", &reader));
+    harness.report("first", &prefill_target, FIRST_TOKEN);
+    assert_eq!(harness.grants(), granted("second", &prefill_target));
 
-    harness.ask(survey("third", 2, 1));
+    harness.ask(ask_with_prefix("third", 2, 1));
     assert_eq!(harness.grants().len(), 1);
-    harness.ask(survey("fourth", 2, 1));
+    harness.ask(ask_with_prefix("fourth", 2, 1));
     harness.advance(Duration::from_millis(700));
     assert_eq!(harness.grants(), []);
     harness.advance(Duration::from_millis(100));
@@ -85,18 +85,18 @@
 fn affinity_yields_to_load() {
     let mut harness = harness(&[64, 64]);
     let prefix = prompt::digests(&[7; 2000], 64);
-    let shared = |i: u32| Ask {
+    let ask_with_shared_prefix = |i: u32| Ask {
         prefix: prefix.clone(),
         prompt_tokens: 2000,
         ..ask(&format!("r{i}"), 0)
     };
-    harness.ask(shared(0));
-    let (_, holder) = harness.grants().remove(0);
-    harness.report("r0", &holder, FIRST_TOKEN);
-    harness.ask(shared(1));
-    assert_eq!(harness.grants(), granted("r1", &holder));
+    harness.ask(ask_with_shared_prefix(0));
+    let (_, cache_target) = harness.grants().remove(0);
+    harness.report("r0", &cache_target, FIRST_TOKEN);
+    harness.ask(ask_with_shared_prefix(1));
+    assert_eq!(harness.grants(), granted("r1", &cache_target));
     for i in 2..60 {
-        harness.ask(shared(i));
+        harness.ask(ask_with_shared_prefix(i));
     }
     let mut counts = BTreeMap::new();
     for (_, target) in harness.grants() {
@@ -109,21 +109,21 @@
 // holder. An ask lets others pass for three times the reading that its holder saves, then
 // goes anywhere.
 #[test]
-fn an_ask_waits_for_its_holder_a_while() {
+fn wait_for_the_target_with_the_prefix_is_bounded() {
     let mut harness = harness(&[2, 2]);
-    let shared = |request: &str, tier: u8| Ask {
+    let ask_with_shared_prefix = |request: &str, tier: u8| Ask {
         prefix: prompt::digests(&[7; 2000], 64),
         prompt_tokens: 2000,
         ..ask(request, tier)
     };
     for request in ["x", "y"] {
         let exclusions = vec![TargetLife::from("t1")];
-        let ask = shared(request, 0);
+        let ask = ask_with_shared_prefix(request, 0);
         harness.ask(Ask { exclusions, ..ask });
         harness.report(request, "t0", FIRST_TOKEN);
     }
     assert_eq!(harness.grants().len(), 2);
-    harness.ask(shared("first", 1));
+    harness.ask(ask_with_shared_prefix("first", 1));
     let customer = "quarry".to_owned();
     let other = ask("other", 1);
     harness.ask(Ask { customer, ..other });
@@ -131,7 +131,7 @@
     harness.end("x", "t0");
     assert_eq!(harness.grants(), granted("first", "t0"));
     harness.end("other", "t1");
-    harness.ask(shared("second", 1));
+    harness.ask(ask_with_shared_prefix("second", 1));
     harness.advance(Duration::from_millis(700));
     assert_eq!(harness.grants(), []);
     harness.advance(Duration::from_millis(100));
@@ -140,7 +140,7 @@
 
 // Memory grows with each prompt ever seen: beliefs are bounded, the least recently used go.
 #[test]
-fn beliefs_are_bounded() {
+fn cached_blocks_are_bounded() {
     let harness = harness(&[8]);
     let target = TargetLife::from("t0");
     let stored: Vec<CacheEvent> = (0..10_000).map(CacheEvent::Stored).collect();
--- a/crates/lilaccrank/tests/suite/dispatch_faults.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_faults.rs
@@ -9,9 +9,9 @@
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::target_life::TargetLife;
 
-use crate::dispatch_cases::{
-    CONCURRENCY, FIRST_TOKEN, FLOOR, ask, entry, granted, harness, limited, refused, survey,
-    waiting,
+use crate::dispatch_fixtures::{
+    CONCURRENCY_LIMIT, FIRST_TOKEN, SILENCE_FLOOR, ask, ask_with_limit, ask_with_long_prompt,
+    entry, granted, harness, refused, waiting,
 };
 use crate::dispatch_harness::{Harness, LOWEST_TIER};
 
@@ -21,10 +21,10 @@
 fn a_later_ask_voids_the_earlier() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
-    let again = limited("again", CONCURRENCY);
-    harness.ask(again.clone());
+    let repeated = ask_with_limit("again", CONCURRENCY_LIMIT);
+    harness.ask(repeated.clone());
     harness.verdicts();
-    harness.ask(Ask { ask: 2, ..again });
+    harness.ask(Ask { ask: 2, ..repeated });
     assert_eq!(harness.refusals(), refused("again", ErrorKind::Cancelled));
     harness.end("runs", "t0");
     let verdicts = harness.verdicts();
@@ -58,7 +58,7 @@
 // A request waits for ever. Its entry lost the answer and calls again with the same number; then
 // the first call ends. The end of the first must not take back what the second waits for.
 #[test]
-fn the_end_of_a_replaced_call_takes_nothing_back() {
+fn dropping_a_replaced_call_keeps_its_ask() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
     let dispatcher = harness.dispatcher.clone();
@@ -74,12 +74,12 @@
 // Slots are taken by nobody. A caller goes away and its call ends, while it waits or just as the
 // grant comes. Its ask has to go with it.
 #[test]
-fn a_dropped_call_takes_its_ask_back() {
+fn dropping_a_call_cancels_its_ask() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
-    let gone = harness.call(ask("gone", 0));
+    let dropped = harness.call(ask("gone", 0));
     assert_eq!(waiting(&harness), 1);
-    drop(gone);
+    drop(dropped);
     harness.verdicts();
     assert_eq!(waiting(&harness), 0);
     let granted_unread = harness.call(ask("late", 0));
@@ -91,7 +91,7 @@
 
 // A slot stays taken for good. The grant's answer is lost and the entry never calls again.
 #[test]
-fn an_unconfirmed_grant_lapses() {
+fn unconfirmed_grant_expires() {
     let mut harness = harness(&[1]);
     harness.ask(ask("lost", 0));
     harness.advance(Duration::from_secs(11));
@@ -136,7 +136,7 @@
     harness.ask(ask("urgent", 0));
     assert_eq!(harness.grants(), granted("urgent", "t1"));
     harness.ask(ask("waits", 0));
-    harness.ask(survey("survey", 3));
+    harness.ask(ask_with_long_prompt("survey", 3));
     assert_eq!(harness.grants(), [], "nothing urgent or long on a trial");
     harness.ask(ask("cheap", 3));
     assert_eq!(harness.grants(), granted("cheap", "t0"));
@@ -148,7 +148,7 @@
 // After a hang the target answers nothing to its trial either. Without the longer wait each
 // trial would cost another caller its time, once a second.
 #[test]
-fn a_trial_goes_to_one_cheap_request() {
+fn trial_is_one_cheap_request() {
     let mut harness = harness(&[8]);
     harness.ask(ask("silent", 0));
     harness.report("silent", "t0", ReportKind::Began);
@@ -173,12 +173,12 @@
 fn a_slowed_target_gets_less() {
     let mut harness = harness(&[8]);
     harness.ask(ask("r", 0));
-    harness.steps("r", "t0", 8, 20);
+    harness.report_steps("r", "t0", 8, 20);
     let slots = |harness: &Harness| harness.dispatcher.status().targets[0].slots;
     assert_eq!(slots(&harness), 8);
-    harness.steps("r", "t0", 80, 10);
+    harness.report_steps("r", "t0", 80, 10);
     assert_eq!(slots(&harness), 1);
-    harness.steps("r", "t0", 8, 40);
+    harness.report_steps("r", "t0", 8, 40);
     assert_eq!(slots(&harness), 8);
 }
 
@@ -187,9 +187,9 @@
 // tier meanwhile.
 #[test]
 fn a_new_dispatcher_waits_for_the_entries() {
-    let mut harness = Harness::new(&[1], 2, FLOOR);
+    let mut harness = Harness::new(&[1], 2, SILENCE_FLOOR);
     let expected = vec![entry("vm2"), entry("vm3")];
-    harness.dispatcher.begin_handover(expected, FLOOR);
+    harness.dispatcher.begin_handover(expected, SILENCE_FLOOR);
     for (request, tier) in [
         ("bulk", 2),
         ("more", 1),
@@ -221,10 +221,10 @@
 // Memory runs out in a handover during a burst, or an urgent ask is refused while bulk is kept.
 // Past twice its limit the queue sheds from its lowest tier, whichever that is.
 #[test]
-fn a_handover_keeps_at_most_twice_the_limit() {
-    let mut harness = Harness::new(&[1], 1, FLOOR);
+fn queue_in_a_handover_is_capped_at_twice_its_limit() {
+    let mut harness = Harness::new(&[1], 1, SILENCE_FLOOR);
     let expected = vec![entry("vm3")];
-    harness.dispatcher.begin_handover(expected, FLOOR);
+    harness.dispatcher.begin_handover(expected, SILENCE_FLOOR);
     for (request, tier) in [("bulk", 2), ("more", 1), ("urgent", 0)] {
         harness.ask(ask(request, tier));
     }
@@ -233,13 +233,15 @@
 
 // A silent entry would hold up all others: the grace ends the wait.
 #[test]
-fn a_handover_ends_with_its_grace() {
+fn handover_ends_after_its_grace_period() {
     let mut harness = harness(&[1]);
-    harness.dispatcher.begin_handover(vec![entry("vm9")], FLOOR);
+    harness
+        .dispatcher
+        .begin_handover(vec![entry("vm9")], SILENCE_FLOOR);
     harness.ask(ask("r", 0));
-    harness.advance(FLOOR / 2);
+    harness.advance(SILENCE_FLOOR / 2);
     assert_eq!(harness.verdicts(), []);
-    harness.advance(FLOOR);
+    harness.advance(SILENCE_FLOOR);
     assert_eq!(harness.grants(), granted("r", "t0"));
 }
 
@@ -248,7 +250,9 @@
 #[test]
 fn what_runs_is_not_granted_again() {
     let mut harness = harness(&[1]);
-    harness.dispatcher.begin_handover(vec![entry("vm2")], FLOOR);
+    harness
+        .dispatcher
+        .begin_handover(vec![entry("vm2")], SILENCE_FLOOR);
     harness.ask(ask("r", 0));
     let running = Running {
         ask: ask("r", 0),
@@ -269,7 +273,7 @@
 
 // Targets look full and are idle. An entry died with requests waiting and running.
 #[test]
-fn a_dead_entry_leaves_nothing() {
+fn forgotten_entry_releases_its_requests() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
     harness.ask(ask("waits", 0));
--- a/crates/lilaccrank/tests/suite/dispatch_cases.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
@@ -10,26 +10,26 @@
 
 use crate::dispatch_harness::{self, Harness};
 
-pub const CONCURRENCY: Limit = Limit {
+pub const CONCURRENCY_LIMIT: Limit = Limit {
     concurrency: Some(1),
     per_customer: false,
     rate_per_s: None,
 };
-pub const FLOOR: Duration = Duration::from_secs(2);
+pub const SILENCE_FLOOR: Duration = Duration::from_secs(2);
 pub const FIRST_TOKEN: ReportKind = ReportKind::FirstToken {
     after: Duration::from_millis(250),
 };
-pub const MANY: usize = 1000;
+pub const WAITING_LIMIT: usize = 1000;
 
 pub fn harness(slots: &[u32]) -> Harness {
-    Harness::new(slots, MANY, FLOOR)
+    Harness::new(slots, WAITING_LIMIT, SILENCE_FLOOR)
 }
 
 pub fn ask(request: &str, tier: u8) -> Ask {
     dispatch_harness::ask(request, tier)
 }
 
-pub fn survey(request: &str, tier: u8) -> Ask {
+pub fn ask_with_long_prompt(request: &str, tier: u8) -> Ask {
     let prompt_tokens = 10_000;
     Ask {
         prompt_tokens,
@@ -37,12 +37,12 @@
     }
 }
 
-pub fn due(secs: u64, ask: Ask) -> Ask {
+pub fn with_deadline(secs: u64, ask: Ask) -> Ask {
     let deadline = Some(Duration::from_secs(secs));
     Ask { deadline, ..ask }
 }
 
-pub fn limited(request: &str, limit: Limit) -> Ask {
+pub fn ask_with_limit(request: &str, limit: Limit) -> Ask {
     let limit = Some(limit);
     Ask {
         limit,
@@ -71,7 +71,7 @@
 }
 
 /// What stands for a target in a digest.
-pub fn of(target: &str) -> LifeDigest {
+pub fn target_digest(target: &str) -> LifeDigest {
     TargetLife::from(target).digest()
 }
 
@@ -81,7 +81,7 @@
         loads: vec![TargetLoad {
             prefill,
             running,
-            target: of(target),
+            target: target_digest(target),
         }],
         whole: true,
         ..Digest::default()
@@ -89,19 +89,19 @@
 }
 
 /// A digest of a peer that has nothing on any target.
-pub fn nothing() -> Digest {
+pub fn empty_digest() -> Digest {
     Digest {
         whole: true,
         ..Digest::default()
     }
 }
 
-pub fn tell(harness: &Harness, from: &str, digest: Digest) {
+pub fn deliver_digest(harness: &Harness, from: &str, digest: Digest) {
     harness.dispatcher.take_digest(&from.to_owned(), digest);
 }
 
 /// An ask whose caller expects a first token.
-pub fn hurried(request: &str, tier: u8) -> Ask {
+pub fn ask_with_objective(request: &str, tier: u8) -> Ask {
     Ask {
         deadline: Some(Duration::from_secs(10)),
         objective: Some(Duration::from_millis(1_000)),
--- a/crates/lilaccrank/tests/suite/dispatch_harness.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_harness.rs
@@ -16,7 +16,7 @@
 
 pub const DATA_CENTRE: &str = "portmore";
 pub const LOWEST_TIER: u8 = 3;
-const STEP: Duration = Duration::from_millis(50);
+const CLOCK_STEP: Duration = Duration::from_millis(50);
 
 pub struct Harness {
     pub clock: PausedClock,
@@ -30,11 +30,11 @@
 impl Harness {
     /// A dispatcher of targets `t0`, `t1` and so on with these slots.
     pub fn new(slots: &[u32], waiting_limit: usize, silence_floor: Duration) -> Self {
-        Self::of("vm1", slots, waiting_limit, silence_floor)
+        Self::for_vm("vm1", slots, waiting_limit, silence_floor)
     }
 
     /// The same on a vm of another name.
-    pub fn of(vm: &str, slots: &[u32], waiting_limit: usize, silence_floor: Duration) -> Self {
+    pub fn for_vm(vm: &str, slots: &[u32], waiting_limit: usize, silence_floor: Duration) -> Self {
         let clock = PausedClock::new();
         let cfg = Config {
             block_tokens: 64,
@@ -94,7 +94,8 @@
     pub fn advance(&mut self, duration: Duration) {
         let until = self.clock.elapsed() + duration;
         while self.clock.elapsed() < until {
-            self.clock.advance(STEP.min(until - self.clock.elapsed()));
+            self.clock
+                .advance(CLOCK_STEP.min(until - self.clock.elapsed()));
             self.executor.run_until_stalled();
         }
     }
@@ -145,7 +146,7 @@
     }
 
     /// Reports steps of this length.
-    pub fn steps(&mut self, request: &str, target: &str, step_ms: u64, times: u32) {
+    pub fn report_steps(&mut self, request: &str, target: &str, step_ms: u64, times: u32) {
         for _ in 0..times {
             let step = Duration::from_millis(step_ms);
             self.report(request, target, ReportKind::Progress { step, tokens: 1 });
--- a/crates/lilaccrank/tests/suite/dispatch_inputs.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_inputs.rs
@@ -7,40 +7,40 @@
 use lilaccrank::target_life::TargetLife;
 use quickcheck::{Arbitrary, Gen};
 
-use crate::dispatch_cases::{ask, harness};
+use crate::dispatch_fixtures::{ask, harness};
 use crate::seeded;
 
 /// A number that is mostly at an end of its range.
-fn extreme(g: &mut Gen) -> u64 {
-    let usual = u64::arbitrary(g) % 1_000;
-    *g.choose(&[0, 1, usual, u64::from(u32::MAX), u64::MAX - 1, u64::MAX])
+fn boundary_value(g: &mut Gen) -> u64 {
+    let typical = u64::arbitrary(g) % 1_000;
+    *g.choose(&[0, 1, typical, u64::from(u32::MAX), u64::MAX - 1, u64::MAX])
         .unwrap_or(&0)
 }
 
-fn time(g: &mut Gen) -> Duration {
-    Duration::from_millis(extreme(g))
+fn boundary_duration(g: &mut Gen) -> Duration {
+    Duration::from_millis(boundary_value(g))
 }
 
 /// A digest of another daemon.
 #[derive(Clone, Debug)]
-struct Told(Digest);
+struct ArbitraryDigest(Digest);
 
-impl Arbitrary for Told {
+impl Arbitrary for ArbitraryDigest {
     fn arbitrary(g: &mut Gen) -> Self {
         let load = |g: &mut Gen| TargetLoad {
-            prefill: extreme(g),
-            running: extreme(g) as u32,
+            prefill: boundary_value(g),
+            running: boundary_value(g) as u32,
             target: TargetLife::from("t0").digest(),
         };
         let sample = |g: &mut Gen| Sample {
             seen: match u8::arbitrary(g) % 3 {
                 0 => Seen::FirstToken {
-                    after: time(g),
-                    before: extreme(g),
+                    after: boundary_duration(g),
+                    before: boundary_value(g),
                 },
                 1 => Seen::Step {
-                    batch: extreme(g) as u32,
-                    step: time(g),
+                    batch: boundary_value(g) as u32,
+                    step: boundary_duration(g),
                 },
                 _ => Seen::Failed,
             },
@@ -49,7 +49,7 @@
         Self(Digest {
             loads: (0..3).map(|_| load(g)).collect(),
             samples: (0..3).map(|_| sample(g)).collect(),
-            sent: vec![(TargetLife::from("t0").digest(), extreme(g) as u32)],
+            sent: vec![(TargetLife::from("t0").digest(), boundary_value(g) as u32)],
             waiting: None,
             whole: bool::arbitrary(g),
         })
@@ -58,16 +58,16 @@
 
 /// An ask of a caller that lies about its lengths and times.
 #[derive(Clone, Debug)]
-struct Asked(Ask);
+struct ArbitraryAsk(Ask);
 
-impl Arbitrary for Asked {
+impl Arbitrary for ArbitraryAsk {
     fn arbitrary(g: &mut Gen) -> Self {
         Self(Ask {
-            deadline: Some(time(g)),
-            max_tokens: extreme(g) as u32,
-            objective: Some(time(g)),
-            prompt_tokens: extreme(g) as u32,
-            weight: extreme(g) as u32,
+            deadline: Some(boundary_duration(g)),
+            max_tokens: boundary_value(g) as u32,
+            objective: Some(boundary_duration(g)),
+            prompt_tokens: boundary_value(g) as u32,
+            weight: boundary_value(g) as u32,
             ..ask("lies", u8::arbitrary(g) % 3)
         })
     }
@@ -76,25 +76,25 @@
 // A daemon of another version, or a faulty one, tells nonsense of a target. Nobody's numbers may stop
 // another daemon, and after the faulty one has gone the target gets work again.
 #[test]
-fn nonsense_of_another_daemon() {
-    fn holds(told: Vec<Told>, asked: Asked) -> bool {
+fn invalid_digests_of_a_peer_are_tolerated() {
+    fn holds(digests: Vec<ArbitraryDigest>, arbitrary_ask: ArbitraryAsk) -> bool {
         let mut harness = harness(&[4, 4]);
-        for Told(digest) in told {
+        for ArbitraryDigest(digest) in digests {
             harness.dispatcher.take_digest(&"vm2".to_owned(), digest);
         }
-        harness.ask(asked.0);
+        harness.ask(arbitrary_ask.0);
         harness.advance(Duration::from_secs(3));
         harness.verdicts();
         harness.end("lies", "t0");
         harness.ask(ask("sound", 0));
         !harness.grants().is_empty()
     }
-    seeded::check(300, holds as fn(Vec<Told>, Asked) -> bool);
+    seeded::check(300, holds as fn(Vec<ArbitraryDigest>, ArbitraryAsk) -> bool);
 }
 
 // A target reports numbers that cannot be, and its answer has more tokens than were asked for.
 #[test]
-fn nonsense_of_a_target() {
+fn invalid_reports_of_a_target_are_tolerated() {
     fn holds(running: u32, waiting: u32, tokens: u32, step: u64) -> bool {
         let mut harness = harness(&[4]);
         let report = LoadReport { running, waiting };
--- a/crates/lilaccrank/tests/suite/dispatch_near.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_locality.rs
@@ -1,13 +1,13 @@
 //! Targets of several data centres: work goes to those nearby as long as that costs its callers nothing.
 
-use crate::dispatch_cases::{ask, granted, harness, survey};
+use crate::dispatch_fixtures::{ask, ask_with_long_prompt, granted, harness};
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
 
 /// Targets with these slots, of which `near` are in the daemon's data centre.
-fn targets(slots: &[u32], near: &[usize]) -> Harness {
+fn harness_with_local_targets(slots: &[u32], local: &[usize]) -> Harness {
     let mut harness = harness(slots);
-    for (at, target) in harness.pool.targets.iter_mut().enumerate() {
-        if !near.contains(&at) {
+    for (index, target) in harness.pool.targets.iter_mut().enumerate() {
+        if !local.contains(&index) {
             target.data_centre = "spanish-town".to_owned();
         }
     }
@@ -20,8 +20,8 @@
 // Every request and answer crosses the lines between data centres, which are paid by the byte, though
 // targets nearby are as idle: all were taken in turn.
 #[test]
-fn of_idle_targets_one_nearby_is_taken() {
-    let mut harness = targets(&[8, 8, 8, 8], &[2]);
+fn idle_local_target_is_preferred() {
+    let mut harness = harness_with_local_targets(&[8, 8, 8, 8], &[2]);
     for number in 0..6 {
         let request = format!("r{number}");
         harness.ask(ask(&request, 0));
@@ -32,9 +32,9 @@
 
 // The target nearby reads long prompts: who goes there waits for them. A far one answers sooner.
 #[test]
-fn a_far_one_is_taken_where_it_is_sooner() {
-    let mut harness = targets(&[8, 8], &[1]);
-    harness.ask(survey("long", 0));
+fn remote_target_is_chosen_if_it_answers_sooner() {
+    let mut harness = harness_with_local_targets(&[8, 8], &[1]);
+    harness.ask(ask_with_long_prompt("long", 0));
     assert_eq!(harness.grants(), granted("long", "t1"));
     harness.ask(ask("short", 0));
     assert_eq!(harness.grants(), granted("short", "t0"));
@@ -42,8 +42,8 @@
 
 // Nobody nearby has room: the caller waits for nothing.
 #[test]
-fn a_far_one_is_taken_where_there_is_room() {
-    let mut harness = targets(&[8, 1], &[1]);
+fn remote_target_is_chosen_if_local_ones_are_full() {
+    let mut harness = harness_with_local_targets(&[8, 1], &[1]);
     harness.ask(ask("a", 0));
     assert_eq!(harness.grants(), granted("a", "t1"));
     harness.ask(ask("b", 0));
@@ -52,16 +52,16 @@
 
 // All data centres are one: as before, targets are taken in turn.
 #[test]
-fn targets_nearby_are_taken_in_turn() {
-    let mut harness = targets(&[8, 8], &[0, 1]);
+fn local_targets_are_chosen_in_turn() {
+    let mut harness = harness_with_local_targets(&[8, 8], &[0, 1]);
     assert_eq!(harness.pool.targets[0].data_centre, DATA_CENTRE);
-    let mut taken = Vec::new();
+    let mut chosen = Vec::new();
     for number in 0..4 {
         let request = format!("r{number}");
         harness.ask(ask(&request, 0));
         let (_, target) = harness.grants().remove(0);
         harness.end(&request, &target);
-        taken.push(target);
+        chosen.push(target);
     }
-    assert_eq!(taken, ["t0", "t1", "t0", "t1"]);
+    assert_eq!(chosen, ["t0", "t1", "t0", "t1"]);
 }
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -17,9 +17,9 @@
     remaining: None,
     tokens: 40,
 };
-const LONG: u32 = 3000;
+const LONG_PROMPT_TOKENS: u32 = 3000;
 /// No target counts as hung here; the naive version knows nothing of that.
-const PATIENCE: Duration = Duration::from_secs(3600);
+const SILENCE_FLOOR: Duration = Duration::from_secs(3600);
 /// Fixed, so that the verdict is the same each time.
 const SEED: u64 = 4;
 const WAITING_LIMIT: usize = 8;
@@ -98,7 +98,7 @@
     }
 
     fn is_long(&self) -> bool {
-        self.ask.prompt_tokens == LONG
+        self.ask.prompt_tokens == LONG_PROMPT_TOKENS
     }
 
     /// Asks that wait for different room don't wait for each other.
@@ -124,29 +124,29 @@
 }
 
 #[derive(Debug, Default)]
-struct Naive {
+struct ReferenceModel {
     running: Vec<Running>,
     /// Virtual time of each customer in each tier.
-    served: BTreeMap<(u8, String), u64>,
+    customer_virtual_time: BTreeMap<(u8, String), u64>,
     sequence: usize,
     /// Virtual time of each tier.
-    started: BTreeMap<u8, u64>,
+    tier_virtual_time: BTreeMap<u8, u64>,
     waiting: Vec<Waiting>,
 }
 
-impl Naive {
+impl ReferenceModel {
     fn arrive(&mut self, ask: Ask) {
         let busy = self
             .waiting
             .iter()
             .any(|w| w.ask.tier == ask.tier && w.ask.customer == ask.customer);
-        let started = self.started.get(&ask.tier).copied().unwrap_or(0);
-        let served = self
-            .served
+        let tier_virtual_time = self.tier_virtual_time.get(&ask.tier).copied().unwrap_or(0);
+        let customer_virtual_time = self
+            .customer_virtual_time
             .entry((ask.tier, ask.customer.clone()))
             .or_default();
         if !busy {
-            *served = started.max(*served);
+            *customer_virtual_time = tier_virtual_time.max(*customer_virtual_time);
         }
         self.sequence += 1;
         self.waiting.push(Waiting {
@@ -156,16 +156,16 @@
     }
 
     fn remove(&mut self, request: &str) -> Waiting {
-        let at = self
+        let index = self
             .waiting
             .iter()
             .position(|w| w.ask.request == request)
             .unwrap();
-        self.waiting.remove(at)
+        self.waiting.remove(index)
     }
 
-    fn served(&self, waiting: &Waiting) -> u64 {
-        self.served[&(waiting.ask.tier, waiting.ask.customer.clone())]
+    fn customer_virtual_time(&self, waiting: &Waiting) -> u64 {
+        self.customer_virtual_time[&(waiting.ask.tier, waiting.ask.customer.clone())]
     }
 
     /// All that waits, in the order of dispatch.
@@ -175,40 +175,41 @@
             (
                 w.ask.tier,
                 w.ask.partial.is_none(),
-                self.served(w),
+                self.customer_virtual_time(w),
                 w.sequence,
             )
         });
         sorted
     }
 
-    fn open(&self, waiting: &Waiting, targets: &[TargetStatus]) -> BTreeSet<String> {
-        let on = |id: &str| {
+    fn eligible(&self, waiting: &Waiting, targets: &[TargetStatus]) -> BTreeSet<String> {
+        let running_on = |id: &str| {
             let id = id.to_owned();
             self.running.iter().filter(move |r| r.target == id)
         };
-        let unread = |id: &str| on(id).filter(|r| !r.prefilled).map(Running::prompt);
+        let pending_prefill =
+            |id: &str| running_on(id).filter(|r| !r.prefilled).map(Running::prompt);
         let live: Vec<&TargetStatus> = targets.iter().filter(|t| t.live).collect();
         let slots: u32 = live.iter().map(|t| t.slots).sum();
-        let taken: u32 = live.iter().map(|t| on(&t.id).count() as u32).sum();
+        let taken: u32 = live.iter().map(|t| running_on(&t.id).count() as u32).sum();
         let long = live
             .iter()
-            .filter(|t| unread(&t.id).any(|p| p >= LONG))
+            .filter(|t| pending_prefill(&t.id).any(|p| p >= LONG_PROMPT_TOKENS))
             .count();
         let urgent = waiting.ask.tier == 0;
         let headroom = if slots > 1 { slots.div_ceil(8) } else { 0 };
-        let lanes = (live.len() - live.len() / 4).max(1);
-        let full = taken + headroom >= slots || (waiting.is_long() && long >= lanes);
+        let long_prompt_targets = (live.len() - live.len() / 4).max(1);
+        let full = taken + headroom >= slots || (waiting.is_long() && long >= long_prompt_targets);
         if !urgent && full {
             return BTreeSet::new();
         }
-        let open = live.into_iter().filter(|t| {
-            let kept = if urgent { 0 } else { t.slots / 8 };
-            on(&t.id).count() as u32 + kept < t.slots
-                && unread(&t.id).sum::<u32>() < 8192
+        let eligible = live.into_iter().filter(|t| {
+            let reserved = if urgent { 0 } else { t.slots / 8 };
+            running_on(&t.id).count() as u32 + reserved < t.slots
+                && pending_prefill(&t.id).sum::<u32>() < 8192
                 && !waiting.ask.exclusions.contains(&TargetLife::from(&*t.id))
         });
-        open.map(|t| t.id.clone()).collect()
+        eligible.map(|t| t.id.clone()).collect()
     }
 
     /// The first in order that finds an open target. A customer's asks of one lane wait for each
@@ -216,17 +217,17 @@
     fn next(&self, targets: &[TargetStatus]) -> Option<(String, BTreeSet<String>)> {
         let mut blocked = BTreeSet::new();
         for waiting in self.sorted() {
-            let line = (
+            let customer_lane = (
                 waiting.ask.tier,
                 waiting.ask.customer.clone(),
                 waiting.lane(),
             );
-            if !blocked.insert(line) {
+            if !blocked.insert(customer_lane) {
                 continue;
             }
-            let open = self.open(waiting, targets);
-            if !open.is_empty() {
-                return Some((waiting.ask.request.clone(), open));
+            let eligible = self.eligible(waiting, targets);
+            if !eligible.is_empty() {
+                return Some((waiting.ask.request.clone(), eligible));
             }
         }
         None
@@ -242,10 +243,10 @@
             (waiting.ask.tier, waiting.ask.customer.clone()),
             waiting.tokens(),
         );
-        let served = self.served.get_mut(&key).unwrap();
-        let started = self.started.entry(key.0).or_default();
-        *started = (*started).max(*served);
-        *served += tokens * 1024 / u64::from(waiting.ask.weight);
+        let customer_virtual_time = self.customer_virtual_time.get_mut(&key).unwrap();
+        let tier_virtual_time = self.tier_virtual_time.entry(key.0).or_default();
+        *tier_virtual_time = (*tier_virtual_time).max(*customer_virtual_time);
+        *customer_virtual_time += tokens * 1024 / u64::from(waiting.ask.weight);
         let ask = self.remove(request).ask;
         self.running.push(Running {
             ask,
@@ -257,21 +258,33 @@
     /// The newest ask of the customer with most waiting, in the lowest tier.
     fn victim(&self) -> String {
         let tier = self.waiting.iter().map(|w| w.ask.tier).max().unwrap();
-        let low: Vec<&Waiting> = self.waiting.iter().filter(|w| w.ask.tier == tier).collect();
+        let candidates: Vec<&Waiting> =
+            self.waiting.iter().filter(|w| w.ask.tier == tier).collect();
         let backlog = |customer: &str| {
-            let own = low.iter().filter(|w| w.ask.customer == customer);
+            let own = candidates.iter().filter(|w| w.ask.customer == customer);
             own.map(|w| w.tokens()).sum::<u64>() * 1024
         };
         let key = |w: &&&Waiting| {
             let excess = backlog(&w.ask.customer) / u64::from(w.ask.weight);
             (excess, w.ask.customer.clone(), w.sequence)
         };
-        low.iter().max_by_key(key).unwrap().ask.request.clone()
+        candidates
+            .iter()
+            .max_by_key(key)
+            .unwrap()
+            .ask
+            .request
+            .clone()
     }
 }
 
 /// Applies one operation to both and compares what follows.
-fn apply(harness: &mut Harness, naive: &mut Naive, op: &Op, id: usize) -> Result<(), String> {
+fn apply(
+    harness: &mut Harness,
+    model: &mut ReferenceModel,
+    op: &Op,
+    id: usize,
+) -> Result<(), String> {
     match op {
         Op::Advance { ms } => harness.clock.advance(Duration::from_millis(*ms)),
         Op::Arrive {
@@ -290,7 +303,11 @@
                 .map(|i| TargetLife::from(&*format!("t{i}")))
                 .collect();
             ask.max_tokens = u32::from(*max_tokens);
-            ask.prompt_tokens = if *long { LONG } else { ask.prompt_tokens };
+            ask.prompt_tokens = if *long {
+                LONG_PROMPT_TOKENS
+            } else {
+                ask.prompt_tokens
+            };
             ask.weight = 1 + u32::from(customer % 2);
             let live = harness
                 .pool
@@ -301,23 +318,23 @@
                 .clone()
                 .any(|t| !ask.exclusions.contains(&TargetLife::of(t)))
             {
-                naive.arrive(ask.clone());
+                model.arrive(ask.clone());
             }
             harness.ask(ask);
         }
-        Op::Cancel { nth } if !naive.waiting.is_empty() => {
-            let nth = nth % naive.waiting.len();
-            let request = naive.waiting[nth].ask.request.clone();
-            naive.remove(&request);
+        Op::Cancel { nth } if !model.waiting.is_empty() => {
+            let nth = nth % model.waiting.len();
+            let request = model.waiting[nth].ask.request.clone();
+            model.remove(&request);
             harness.dispatcher.cancel(&Cancel { ask: 1, request });
         }
-        Op::End { nth } if !naive.running.is_empty() => {
-            let ended = naive.running.remove(nth % naive.running.len());
+        Op::End { nth } if !model.running.is_empty() => {
+            let ended = model.running.remove(nth % model.running.len());
             harness.end(&ended.ask.request, &ended.target);
         }
-        Op::FirstToken { nth } if !naive.running.is_empty() => {
-            let nth = nth % naive.running.len();
-            let running = &mut naive.running[nth];
+        Op::FirstToken { nth } if !model.running.is_empty() => {
+            let nth = nth % model.running.len();
+            let running = &mut model.running[nth];
             running.prefilled = true;
             let after = Duration::from_millis(100);
             let kind = ReportKind::FirstToken { after };
@@ -325,28 +342,28 @@
         }
         Op::Leave { target } => harness.set_state(*target, TargetState::Draining),
         Op::Return { target } => harness.set_state(*target, TargetState::Live),
-        Op::Slow { nth } if !naive.running.is_empty() => {
-            let running = &naive.running[nth % naive.running.len()];
+        Op::Slow { nth } if !model.running.is_empty() => {
+            let running = &model.running[nth % model.running.len()];
             let (request, target) = (running.ask.request.clone(), running.target.clone());
             for step_ms in [8; 20].into_iter().chain([80; 3]) {
-                harness.steps(&request, &target, step_ms, 1);
-                check(harness, naive)?;
+                harness.report_steps(&request, &target, step_ms, 1);
+                check(harness, model)?;
             }
         }
         Op::Cancel { .. } | Op::End { .. } | Op::FirstToken { .. } | Op::Slow { .. } => {}
     }
-    check(harness, naive)
+    check(harness, model)
 }
 
 /// Checks the verdicts of one step, and takes them over.
-fn check(harness: &mut Harness, naive: &mut Naive) -> Result<(), String> {
+fn check(harness: &mut Harness, model: &mut ReferenceModel) -> Result<(), String> {
     let mut granted = BTreeMap::new();
     let mut shed = Vec::new();
     for verdict in harness.verdicts() {
         match verdict {
             Verdict::Grant(grant) => {
-                let twice = granted.insert(grant.request.clone(), grant.target.id);
-                if twice.is_some() {
+                let previous = granted.insert(grant.request.clone(), grant.target.id);
+                if previous.is_some() {
                     return Err(format!("{} granted twice", grant.request));
                 }
             }
@@ -354,34 +371,34 @@
                 shed.push(refuse.request);
             }
             Verdict::Refuse(refuse) if refuse.kind == ErrorKind::NoTarget => {
-                naive.waiting.retain(|w| w.ask.request != refuse.request);
+                model.waiting.retain(|w| w.ask.request != refuse.request);
             }
             Verdict::Refuse(_) => {}
         }
     }
     let targets = harness.dispatcher.status().targets;
-    while let Some((request, open)) = naive.next(&targets) {
+    while let Some((request, eligible)) = model.next(&targets) {
         let target = granted
             .remove(&request)
             .ok_or(format!("{request} not granted"))?;
-        if !open.contains(&target) {
-            return Err(format!("{request} went to {target}, open are {open:?}"));
+        if !eligible.contains(&target) {
+            return Err(format!("{request} went to {target}, open are {eligible:?}"));
         }
-        naive.grant(&request, &target);
+        model.grant(&request, &target);
         harness.report(&request, &target, ReportKind::Began);
     }
     if !granted.is_empty() {
         return Err(format!("granted out of order: {granted:?}"));
     }
-    while naive.waiting.len() > WAITING_LIMIT {
-        let victim = naive.victim();
-        let gone = naive.remove(&victim);
-        let lowest = naive.waiting.iter().map(|w| w.ask.tier).max();
-        if lowest > Some(gone.ask.tier) {
+    while model.waiting.len() > WAITING_LIMIT {
+        let victim = model.victim();
+        let removed = model.remove(&victim);
+        let lowest = model.waiting.iter().map(|w| w.ask.tier).max();
+        if lowest > Some(removed.ask.tier) {
             return Err(format!("{victim} shed before lower-tier work"));
         }
-        let at = shed.iter().position(|request| *request == victim);
-        shed.remove(at.ok_or(format!("{victim} not shed"))?);
+        let index = shed.iter().position(|request| *request == victim);
+        shed.remove(index.ok_or(format!("{victim} not shed"))?);
     }
     match shed.is_empty() {
         true => Ok(()),
@@ -389,31 +406,31 @@
     }
 }
 
-fn agree(ops: Vec<Op>) -> Result<(), String> {
-    let mut harness = Harness::new(&[1, 3, 8], WAITING_LIMIT, PATIENCE);
-    let mut naive = Naive::default();
+fn matches_reference_model(ops: Vec<Op>) -> Result<(), String> {
+    let mut harness = Harness::new(&[1, 3, 8], WAITING_LIMIT, SILENCE_FLOOR);
+    let mut model = ReferenceModel::default();
     for (id, op) in ops.iter().enumerate() {
-        apply(&mut harness, &mut naive, op, id)?;
+        apply(&mut harness, &mut model, op, id)?;
         let status = harness.dispatcher.status();
         let waiting: usize = status.waiting.iter().map(|tier| tier.waiting).sum();
-        if waiting != naive.waiting.len() || status.running != naive.running.len() {
-            return Err(format!("lost: {status:?} but {naive:?}"));
+        if waiting != model.waiting.len() || status.running != model.running.len() {
+            return Err(format!("lost: {status:?} but {model:?}"));
         }
     }
-    finish(&mut harness, &mut naive)
+    finish(&mut harness, &mut model)
 }
 
 /// Ends all that runs until nothing is left: each ask has its verdict.
-fn finish(harness: &mut Harness, naive: &mut Naive) -> Result<(), String> {
+fn finish(harness: &mut Harness, model: &mut ReferenceModel) -> Result<(), String> {
     for target in 0..harness.pool.targets.len() {
-        apply(harness, naive, &Op::Return { target }, 0)?;
+        apply(harness, model, &Op::Return { target }, 0)?;
     }
-    while !naive.running.is_empty() {
-        apply(harness, naive, &Op::End { nth: 0 }, 0)?;
+    while !model.running.is_empty() {
+        apply(harness, model, &Op::End { nth: 0 }, 0)?;
     }
-    match naive.waiting.is_empty() {
+    match model.waiting.is_empty() {
         true => Ok(()),
-        false => Err(format!("left waiting: {:?}", naive.waiting)),
+        false => Err(format!("left waiting: {:?}", model.waiting)),
     }
 }
 
@@ -422,5 +439,5 @@
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, SEED))
         .tests(400)
-        .quickcheck(agree as fn(Vec<Op>) -> Result<(), String>);
+        .quickcheck(matches_reference_model as fn(Vec<Op>) -> Result<(), String>);
 }
--- a/crates/lilaccrank/tests/suite/dispatch_overload.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_overload.rs
@@ -7,8 +7,9 @@
 use lilaccrank::document::Limit;
 use lilaccrank::error_kind::ErrorKind;
 
-use crate::dispatch_cases::{
-    CONCURRENCY, FLOOR, ask, due, granted, harness, limited, refused, survey,
+use crate::dispatch_fixtures::{
+    CONCURRENCY_LIMIT, SILENCE_FLOOR, ask, ask_with_limit, ask_with_long_prompt, granted, harness,
+    refused, with_deadline,
 };
 use crate::dispatch_harness::Harness;
 
@@ -17,7 +18,7 @@
     ($name:ident, $low:literal, $new:literal, $refused:literal) => {
         #[test]
         fn $name() {
-            let mut harness = Harness::new(&[1], 2, FLOOR);
+            let mut harness = Harness::new(&[1], 2, SILENCE_FLOOR);
             for request in ["runs", "first", "second"] {
                 harness.ask(ask(request, $low));
             }
@@ -28,16 +29,16 @@
     };
 }
 
-full_queue!(bulk_makes_way_for_urgent, 3, 0, "second");
-full_queue!(bulk_is_shed_before_urgent, 0, 3, "new");
-full_queue!(of_one_customer_the_newest_is_shed, 2, 2, "new");
+full_queue!(waiting_bulk_is_shed_for_an_urgent_ask, 3, 0, "second");
+full_queue!(new_bulk_is_shed_before_waiting_urgent_asks, 0, 3, "new");
+full_queue!(newest_ask_of_one_customer_is_shed, 2, 2, "new");
 
 // A caller sees its small customer's request refused at the top of the hour. A large customer
 // fills the queue, then a small one asks. Were the newest shed, the large one's burst would cost
 // the small one its place.
 #[test]
-fn a_burst_costs_only_its_own_customer() {
-    let mut harness = Harness::new(&[1], 10, FLOOR);
+fn burst_sheds_only_its_own_customer() {
+    let mut harness = Harness::new(&[1], 10, SILENCE_FLOOR);
     for i in 0..11 {
         harness.ask(ask(&format!("large{i}"), 2));
     }
@@ -63,7 +64,7 @@
         let customer = "large".to_owned();
         harness.ask(Ask {
             customer,
-            ..survey(&format!("survey{i}"), 2)
+            ..ask_with_long_prompt(&format!("survey{i}"), 2)
         });
     }
     for i in 0..20 {
@@ -79,14 +80,14 @@
         .iter()
         .enumerate()
         .filter(|(_, (r, _))| r.starts_with("survey"));
-    let places: Vec<usize> = surveys.map(|(i, _)| i).collect();
-    assert_eq!(places, [0, 21, 22, 23, 24]);
+    let positions: Vec<usize> = surveys.map(|(i, _)| i).collect();
+    assert_eq!(positions, [0, 21, 22, 23, 24]);
 }
 
 // A breakdown call waits for bulk to end. Bulk has filled every slot before the call comes.
 // Engines can't be interrupted, so a part of the slots is kept from bulk.
 #[test]
-fn urgent_finds_a_way_in_while_bulk_fills_the_rest() {
+fn slots_are_reserved_for_urgent_work() {
     let mut harness = harness(&[8, 8]);
     for i in 0..40 {
         harness.ask(ask(&format!("bulk{i}"), 3));
@@ -99,10 +100,10 @@
 // A ping waits for seconds although slots are free. Surveys are being read on every target, and
 // reading can't be interrupted. So some targets are kept free of long prompts.
 #[test]
-fn surveys_leave_targets_for_pings() {
+fn targets_are_kept_free_of_long_prompts() {
     let mut harness = harness(&[8, 8, 8, 8]);
     for i in 0..8 {
-        harness.ask(survey(&format!("survey{i}"), 3));
+        harness.ask(ask_with_long_prompt(&format!("survey{i}"), 3));
     }
     let mut busy: Vec<String> = harness
         .grants()
@@ -118,10 +119,10 @@
 // Prefill is spent in vain. A deadline that could be met at first has come too near in the queue;
 // the request is refused at its turn.
 #[test]
-fn a_deadline_is_judged_again_at_the_grant() {
+fn deadline_is_checked_again_at_the_grant() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
-    harness.ask(due(4, survey("late", 0)));
+    harness.ask(with_deadline(4, ask_with_long_prompt("late", 0)));
     harness.advance(Duration::from_secs(3));
     assert_eq!(harness.refusals(), []);
     harness.end("runs", "t0");
@@ -134,7 +135,7 @@
 // A ping waits behind a survey that is being read, while another engine only generates. What we
 // have just sent counts at once, not when the engine reports it.
 #[test]
-fn our_own_grants_count_at_once() {
+fn own_grants_count_before_the_target_reports_them() {
     let mut harness = harness(&[8, 8]);
     let prompt_tokens = 7000;
     harness.ask(Ask {
@@ -150,16 +151,16 @@
 
 // A rule that lets nothing wait refuses all, also while targets idle. What can go at once goes.
 #[test]
-fn no_wait_is_enough_for_an_idle_target() {
+fn zero_wait_allows_immediate_dispatch() {
     let mut harness = harness(&[1]);
     let wait_at_most = Some(Duration::ZERO);
-    let hasty = |request: &str| Ask {
+    let ask_with_zero_wait = |request: &str| Ask {
         wait_at_most,
         ..ask(request, 0)
     };
-    harness.ask(hasty("goes"));
+    harness.ask(ask_with_zero_wait("goes"));
     assert_eq!(harness.grants(), granted("goes", "t0"));
-    harness.ask(hasty("late"));
+    harness.ask(ask_with_zero_wait("late"));
     harness.advance(Duration::from_millis(100));
     let kind = ErrorKind::DeadlineUnmeetable;
     assert_eq!(harness.refusals(), refused("late", kind));
@@ -169,21 +170,21 @@
 // reading of the prompt, or than the work ahead; lower-tier work ahead doesn't count, since it
 // would be passed.
 #[test]
-fn a_hopeless_deadline_is_refused_at_once() {
+fn unmeetable_deadline_is_refused_on_arrival() {
     let mut harness = harness(&[1]);
-    let limit = limited("counts", RATE).limit;
-    harness.ask(due(
+    let limit = ask_with_limit("counts", RATE_LIMIT).limit;
+    harness.ask(with_deadline(
         1,
         Ask {
             limit,
-            ..survey("survey", 3)
+            ..ask_with_long_prompt("survey", 3)
         },
     ));
     assert_eq!(
         harness.refusals(),
         refused("survey", ErrorKind::DeadlineUnmeetable)
     );
-    harness.ask(limited("counts", RATE));
+    harness.ask(ask_with_limit("counts", RATE_LIMIT));
     assert_eq!(
         harness.grants(),
         granted("counts", "t0"),
@@ -193,10 +194,10 @@
     harness.ask(ask("runs", 0));
     harness.verdicts();
     for i in 0..25 {
-        harness.ask(survey(&format!("survey{i}"), 3));
+        harness.ask(ask_with_long_prompt(&format!("survey{i}"), 3));
     }
-    harness.ask(due(20, ask("lowest", 3)));
-    harness.ask(due(5, ask("higher", 2)));
+    harness.ask(with_deadline(20, ask("lowest", 3)));
+    harness.ask(with_deadline(5, ask("higher", 2)));
     let refusals = harness.refusals();
     let kind = ErrorKind::DeadlineUnmeetable;
     assert_eq!(refusals, [("lowest".to_owned(), kind)]);
@@ -218,7 +219,7 @@
                 let customer = str::to_owned(customer);
                 harness.ask(Ask {
                     customer,
-                    ..limited(&format!("r{i}"), $limit)
+                    ..ask_with_limit(&format!("r{i}"), $limit)
                 });
             }
             let refusals = harness.refusals().into_iter();
@@ -229,11 +230,11 @@
     };
 }
 
-const EACH: Limit = Limit {
+const CUSTOMER_CONCURRENCY_LIMIT: Limit = Limit {
     per_customer: true,
-    ..CONCURRENCY
+    ..CONCURRENCY_LIMIT
 };
-const RATE: Limit = Limit {
+const RATE_LIMIT: Limit = Limit {
     concurrency: None,
     per_customer: false,
     rate_per_s: Some(1.0),
@@ -241,26 +242,26 @@
 
 limit!(
     concurrency_is_limited,
-    CONCURRENCY,
+    CONCURRENCY_LIMIT,
     ["a", "b", "a"],
     ["r1", "r2"]
 );
 limit!(
     concurrency_is_limited_per_customer,
-    EACH,
+    CUSTOMER_CONCURRENCY_LIMIT,
     ["a", "b", "a"],
     ["r2"]
 );
-limit!(rate_is_limited, RATE, ["a", "b", "a"], ["r1", "r2"]);
+limit!(rate_is_limited, RATE_LIMIT, ["a", "b", "a"], ["r1", "r2"]);
 
 // A limit fills up for good, and every caller is refused. A place is given back however its
 // request ends.
 #[test]
-fn a_limit_is_given_back_at_each_end() {
+fn limit_is_released_on_every_outcome() {
     let mut harness = harness(&[1]);
     for i in 0..3 {
         let request = format!("r{i}");
-        harness.ask(limited(&request, CONCURRENCY));
+        harness.ask(ask_with_limit(&request, CONCURRENCY_LIMIT));
         assert_eq!(harness.grants(), granted(&request, "t0"));
         let outcome = [Outcome::Complete, Outcome::Failed, Outcome::Unused][i];
         let kind = ReportKind::Ended {
@@ -275,7 +276,7 @@
 // Callers return long before or after their turn. The pool has ended a thousand tokens a second,
 // so those behind ten thousand should come back in ten seconds and up to as long again.
 #[test]
-fn retry_after_follows_the_drain() {
+fn retry_after_follows_the_drain_rate() {
     let start = Instant::now();
     let mut drain = DrainRate::new(0, start);
     let seconds = (1..=30).map(|i| start + Duration::from_secs(i));
@@ -290,8 +291,8 @@
 // Refused callers come back as one burst and are refused again. Their `Retry-After` is spread
 // over as long as the pool needs.
 #[test]
-fn refused_callers_return_spread_out() {
-    let mut harness = Harness::new(&[1], 1, FLOOR);
+fn retry_after_is_spread_out() {
+    let mut harness = Harness::new(&[1], 1, SILENCE_FLOOR);
     for i in 0..101 {
         harness.ask(ask(&format!("r{i}"), 3));
     }
@@ -299,9 +300,12 @@
         Verdict::Grant(_) => None,
         Verdict::Refuse(refuse) => refuse.retry_after,
     };
-    let mut waits: Vec<Duration> = harness.verdicts().iter().filter_map(retry).collect();
-    assert_eq!(waits.len(), 99);
-    waits.sort();
-    assert!(waits[98] > waits[0].mul_f64(1.2), "{waits:?}");
-    assert!(waits[98] < FLOOR, "one short ask is ahead: {waits:?}");
+    let mut delays: Vec<Duration> = harness.verdicts().iter().filter_map(retry).collect();
+    assert_eq!(delays.len(), 99);
+    delays.sort();
+    assert!(delays[98] > delays[0].mul_f64(1.2), "{delays:?}");
+    assert!(
+        delays[98] < SILENCE_FLOOR,
+        "one short ask is ahead: {delays:?}"
+    );
 }
--- a/crates/lilaccrank/tests/suite/dispatch_reservation.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_reservation.rs
@@ -18,11 +18,11 @@
     };
 }
 
-reserved!(no_tier_before, [], by_hold: true, 100 of 12, 0);
+reserved!(first_tier_reserves_nothing, [], by_hold: true, 100 of 12, 0);
 reserved!(long_hold, [800, 400], by_hold: true, 3_000 of 12, 3);
-reserved!(brief_hold, [800, 400], by_hold: true, 150 of 12, 1);
-reserved!(brief_hold_of_a_tier_served_well, [800, 400], by_hold: false, 150 of 12, 3);
-reserved!(briefest_hold_leaves_a_slot, [800, 400], by_hold: true, 1 of 12, 1);
+reserved!(short_hold, [800, 400], by_hold: true, 150 of 12, 1);
+reserved!(short_hold_without_discount, [800, 400], by_hold: false, 150 of 12, 3);
+reserved!(shortest_hold_reserves_one_slot, [800, 400], by_hold: true, 1 of 12, 1);
 reserved!(tier_without_objective, [0], by_hold: true, 1 of 14, 2);
-reserved!(more_tiers_reserve_no_more, [800, 800, 800, 800], by_hold: false, 9_000 of 7, 2);
+reserved!(reserved_tiers_are_capped, [800, 800, 800, 800], by_hold: false, 9_000 of 7, 2);
 reserved!(one_slot, [800, 400], by_hold: true, 9_000 of 1, 0);
--- a/crates/lilaccrank/tests/suite/dispatch_lives.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_restarts.rs
@@ -7,27 +7,27 @@
 use lilaccrank::dispatch::sharing::{Digest, Sample, Seen, TargetLoad};
 use lilaccrank::target_life::TargetLife;
 
-use crate::dispatch_cases::{ask, granted, harness};
+use crate::dispatch_fixtures::{ask, granted, harness};
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
 
-const BORN: u64 = 1_790_000_000_000;
+const START_TIME_MS: u64 = 1_790_000_000_000;
 
 /// The only target starts again.
-fn start_again(harness: &mut Harness) {
-    harness.pool.targets[0].born += BORN;
+fn restart_target(harness: &mut Harness) {
+    harness.pool.targets[0].born += START_TIME_MS;
     harness.dispatcher.set_targets(&harness.pool, DATA_CENTRE);
 }
 
 // An ask waits though its target has just started: a request of the old life, whose connection is
 // silent, still held the only slot.
 #[test]
-fn slots_of_the_old_life_are_free() {
+fn restart_frees_the_slots() {
     let mut harness = harness(&[1]);
     harness.ask(ask("old", 0));
     assert_eq!(harness.grants(), granted("old", "t0"));
     harness.ask(ask("new", 0));
     assert_eq!(harness.grants(), []);
-    start_again(&mut harness);
+    restart_target(&mut harness);
     assert_eq!(harness.grants(), granted("new", "t0"));
     // The end of the old one is no end of the new one.
     harness.end("old", "t0");
@@ -38,11 +38,11 @@
 // A daemon sends nothing to a target that has started again, because others tell what they had on the
 // old life: their words name the life, and one of them may have heard of the new one later.
 #[test]
-fn what_peers_have_on_the_old_life_does_not_count() {
+fn peer_load_from_before_a_restart_is_ignored() {
     let mut harness = harness(&[1]);
-    start_again(&mut harness);
+    restart_target(&mut harness);
     let old = TargetLife::from("t0").digest();
-    let hung = Digest {
+    let stale = Digest {
         loads: vec![TargetLoad {
             prefill: 1_000,
             running: 1,
@@ -59,7 +59,7 @@
         waiting: None,
         whole: true,
     };
-    harness.dispatcher.take_digest(&"vm2".to_owned(), hung);
+    harness.dispatcher.take_digest(&"vm2".to_owned(), stale);
     harness.ask(ask("new", 0));
     assert_eq!(harness.grants(), granted("new", "t0"));
 }
@@ -67,10 +67,10 @@
 // A target that hung, was slow and had a full cache is started again to cure it: it begins as one that
 // was never seen.
 #[test]
-fn nothing_known_outlives_a_target() {
+fn restart_resets_all_that_was_learned() {
     let mut harness = harness(&[8]);
     let life = TargetLife::from("t0");
-    let fresh = harness.dispatcher.status().targets[0].clone();
+    let initial = harness.dispatcher.status().targets[0].clone();
     for number in 0..40 {
         let request = format!("r{number}");
         harness.ask(ask(&request, 0));
@@ -86,25 +86,25 @@
     harness.ask(ask("hangs", 0));
     harness.verdicts();
     harness.advance(Duration::from_secs(60));
-    let worn = harness.dispatcher.status().targets[0].clone();
-    assert_eq!(worn.health, State::Hung);
-    assert!(worn.slowness > 1.0 && worn.cached_blocks > 0);
-    start_again(&mut harness);
+    let degraded = harness.dispatcher.status().targets[0].clone();
+    assert_eq!(degraded.health, State::Hung);
+    assert!(degraded.slowness > 1.0 && degraded.cached_blocks > 0);
+    restart_target(&mut harness);
     let status = harness.dispatcher.status();
-    let again = status.targets.iter().find(|target| target.live).unwrap();
-    let mut expected = fresh;
-    expected.born = again.born;
-    assert_eq!(*again, expected);
+    let restarted = status.targets.iter().find(|target| target.live).unwrap();
+    let mut expected = initial;
+    expected.born = restarted.born;
+    assert_eq!(*restarted, expected);
 }
 
 // The target has started again, and its late answers, reports and cache events still come from the old
 // life: they say nothing of the new one.
 #[test]
-fn words_of_the_old_life_come_late() {
+fn late_reports_from_before_a_restart_are_ignored() {
     let mut harness = harness(&[2]);
     harness.ask(ask("old", 0));
     harness.verdicts();
-    start_again(&mut harness);
+    restart_target(&mut harness);
     let before = harness.dispatcher.status().targets.clone();
     let old = TargetLife::from("t0");
     harness
@@ -117,9 +117,9 @@
             after: Duration::from_secs(9),
         },
     );
-    let of_new = |targets: &[lilaccrank::dispatch::status::TargetStatus]| {
+    let find_restarted = |targets: &[lilaccrank::dispatch::status::TargetStatus]| {
         targets.iter().find(|target| target.born > 0).cloned()
     };
     let after = harness.dispatcher.status().targets;
-    assert_eq!(of_new(&after), of_new(&before));
+    assert_eq!(find_restarted(&after), find_restarted(&before));
 }
--- a/crates/lilaccrank/tests/suite/dispatch_resumed.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_resumed.rs
@@ -6,13 +6,13 @@
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::stream_progress::StreamProgress;
 
-use crate::dispatch_cases::{ask, granted, harness, refused};
+use crate::dispatch_fixtures::{ask, granted, harness, refused};
 use crate::dispatch_harness::Harness;
 
 const OBJECTIVE: Duration = Duration::from_secs(1);
 
 /// An ask with a time for the first token and one for the whole answer.
-fn hurried(request: &str, tier: u8) -> Ask {
+fn ask_with_objective(request: &str, tier: u8) -> Ask {
     Ask {
         deadline: Some(Duration::from_secs(10)),
         objective: Some(OBJECTIVE),
@@ -22,18 +22,18 @@
 }
 
 /// An ask to resume behind 400 tokens; where it is, the rest comes in so many seconds.
-fn resumes(request: &str, tier: u8, remaining: Option<u64>) -> Ask {
+fn ask_to_resume(request: &str, tier: u8, remaining: Option<u64>) -> Ask {
     Ask {
         partial: Some(PartialAnswer {
             remaining: remaining.map(Duration::from_secs),
             tokens: 400,
         }),
-        ..hurried(request, tier)
+        ..ask_with_objective(request, tier)
     }
 }
 
 /// Teaches the dispatcher how long a target's steps take.
-fn learn(harness: &mut Harness, target: &str, step_ms: u64) {
+fn teach_step_time(harness: &mut Harness, target: &str, step_ms: u64) {
     let request = format!("seen on {target}");
     let others = ["t0", "t1"].into_iter().filter(|other| *other != target);
     harness.ask(Ask {
@@ -41,46 +41,46 @@
         ..ask(&request, 0)
     });
     assert_eq!(harness.grants(), granted(&request, target));
-    harness.steps(&request, target, step_ms, 60);
+    harness.report_steps(&request, target, step_ms, 60);
     harness.end(&request, target);
 }
 
 // A broken stream would wait behind new requests of its tier until its caller, with all it has read, gives up.
 #[test]
-fn a_broken_answer_goes_before_new_ones() {
+fn resumed_answer_goes_before_new_asks() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
     assert_eq!(harness.grants(), granted("runs", "t0"));
-    harness.ask(hurried("new", 1));
-    harness.ask(resumes("broken", 1, None));
+    harness.ask(ask_with_objective("new", 1));
+    harness.ask(ask_to_resume("broken", 1, None));
     harness.end("runs", "t0");
     assert_eq!(harness.grants(), granted("broken", "t0"));
 }
 
 // A resumed answer of a later tier would delay urgent work.
 #[test]
-fn an_earlier_tier_goes_before_a_broken_answer() {
+fn earlier_tier_goes_before_a_resumed_answer() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
     assert_eq!(harness.grants(), granted("runs", "t0"));
-    harness.ask(resumes("broken", 1, None));
-    harness.ask(hurried("urgent", 0));
+    harness.ask(ask_to_resume("broken", 1, None));
+    harness.ask(ask_with_objective("urgent", 0));
     harness.end("runs", "t0");
     assert_eq!(harness.grants(), granted("urgent", "t0"));
 }
 
 // A long answer would move to a target that is no faster, and be read again in vain.
 #[test]
-fn an_answer_waits_for_a_faster_target() {
+fn resumed_answer_waits_for_a_faster_target() {
     let mut harness = harness(&[8, 1]);
-    learn(&mut harness, "t0", 20);
-    learn(&mut harness, "t1", 5);
+    teach_step_time(&mut harness, "t0", 20);
+    teach_step_time(&mut harness, "t1", 5);
     harness.ask(Ask {
         exclusions: vec!["t0".into()],
         ..ask("fills", 0)
     });
     assert_eq!(harness.grants(), granted("fills", "t1"));
-    harness.ask(resumes("long", 0, Some(12)));
+    harness.ask(ask_to_resume("long", 0, Some(12)));
     harness.advance(3 * OBJECTIVE);
     assert_eq!(harness.verdicts(), []);
     harness.end("fills", "t1");
@@ -89,11 +89,11 @@
 
 // A long answer would be refused a migration although a fast target may still come free.
 #[test]
-fn an_answer_waits_for_as_long_as_it_has() {
+fn resumed_answer_waits_until_its_deadline() {
     let mut harness = harness(&[8, 8]);
-    learn(&mut harness, "t0", 20);
-    learn(&mut harness, "t1", 20);
-    harness.ask(resumes("long", 0, Some(12)));
+    teach_step_time(&mut harness, "t0", 20);
+    teach_step_time(&mut harness, "t1", 20);
+    harness.ask(ask_to_resume("long", 0, Some(12)));
     harness.advance(Duration::from_millis(9_900));
     assert_eq!(harness.verdicts(), []);
     harness.advance(Duration::from_millis(200));
@@ -118,14 +118,14 @@
 
 // An answer without a first token, or without a deadline, would be moved for nothing.
 #[test]
-fn nothing_to_project() {
+fn no_overrun_without_first_token_or_deadline() {
     let now = Instant::now();
     let late = now + Duration::from_secs(60);
     assert_eq!(
         StreamProgress::new(0, Some(now)).projected_overrun(late),
         None
     );
-    let mut endless = StreamProgress::new(0, None);
-    endless.received(10, now);
-    assert_eq!(endless.projected_overrun(late), None);
+    let mut without_deadline = StreamProgress::new(0, None);
+    without_deadline.received(10, now);
+    assert_eq!(without_deadline.projected_overrun(late), None);
 }
--- a/crates/lilaccrank/tests/suite/dispatch_sharing.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_sharing.rs
@@ -5,16 +5,17 @@
 use lilaccrank::dispatch::message::{Ask, Outcome, ReportKind};
 use lilaccrank::dispatch::sharing::{Digest, Sample, Seen};
 
-use crate::dispatch_cases::{
-    FIRST_TOKEN, ask, digest, granted, harness, hurried, nothing, of, tell,
+use crate::dispatch_fixtures::{
+    FIRST_TOKEN, ask, ask_with_objective, deliver_digest, digest, empty_digest, granted, harness,
+    target_digest,
 };
 
 // Two daemons send to one engine at the same time, which lets them wait for each other there. What
 // another daemon has on a target counts like what this one has.
 #[test]
-fn load_of_peers_counts() {
+fn peer_load_counts() {
     let mut harness = harness(&[8, 8]);
-    tell(&harness, "vm2", digest("t0", 7, 700));
+    deliver_digest(&harness, "vm2", digest("t0", 7, 700));
     harness.ask(ask("a", 0));
     assert_eq!(harness.grants(), granted("a", "t1"));
 }
@@ -22,12 +23,12 @@
 // A digest is lost, and the next one tells of less. It replaces what was known; added up, the
 // target would look full for ever.
 #[test]
-fn a_digest_replaces_the_one_before() {
+fn digest_replaces_the_previous_one() {
     let mut harness = harness(&[2]);
-    tell(&harness, "vm2", digest("t0", 2, 0));
-    harness.ask(hurried("waits", 0));
+    deliver_digest(&harness, "vm2", digest("t0", 2, 0));
+    harness.ask(ask_with_objective("waits", 0));
     assert_eq!(harness.grants(), []);
-    tell(&harness, "vm2", nothing());
+    deliver_digest(&harness, "vm2", empty_digest());
     assert_eq!(harness.grants(), granted("waits", "t0"));
 }
 
@@ -36,10 +37,10 @@
 #[test]
 fn a_silent_peer_is_forgotten() {
     let mut harness = harness(&[2]);
-    tell(&harness, "vm2", digest("t0", 2, 0));
+    deliver_digest(&harness, "vm2", digest("t0", 2, 0));
     harness.ask(Ask {
         objective: Some(Duration::from_secs(5)),
-        ..hurried("waits", 0)
+        ..ask_with_objective("waits", 0)
     });
     harness.advance(Duration::from_millis(1_400));
     assert_eq!(harness.grants(), []);
@@ -50,18 +51,18 @@
 // A target slows down, and only a peer has requests there. What the peer sees is told: this daemon
 // sends its next request elsewhere, without having to make the experience itself.
 #[test]
-fn what_peers_see_of_a_target_is_learnt() {
+fn peer_samples_are_applied() {
     let mut harness = harness(&[8, 8]);
     let slow = Sample {
         seen: Seen::Step {
             batch: 1,
             step: Duration::from_millis(100),
         },
-        target: of("t0"),
+        target: target_digest("t0"),
     };
     for _ in 0..10 {
         let samples = vec![slow; 10];
-        tell(
+        deliver_digest(
             &harness,
             "vm2",
             Digest {
@@ -77,15 +78,15 @@
 // A target fails three requests of three daemons. Each of them alone has seen one failure; told
 // of all, nobody sends it a fourth.
 #[test]
-fn failures_of_peers_count() {
+fn peer_failures_count() {
     let mut harness = harness(&[8, 8]);
     let failed = Sample {
         seen: Seen::Failed,
-        target: of("t0"),
+        target: target_digest("t0"),
     };
     for peer in ["vm2", "vm3", "vm4"] {
         let samples = vec![failed];
-        tell(
+        deliver_digest(
             &harness,
             peer,
             Digest {
@@ -100,7 +101,7 @@
 
 // What this daemon has and sees is in its digest; what it saw is told once.
 #[test]
-fn a_digest_tells_all_that_runs() {
+fn digest_contains_loads_and_new_samples() {
     let mut harness = harness(&[8]);
     harness.ask(ask("a", 0));
     harness.verdicts();
@@ -108,7 +109,7 @@
     harness.report("a", "t0", ReportKind::FirstToken { after });
     let digest = harness.dispatcher.digest();
     let loads: Vec<_> = digest.loads.iter().map(|l| (l.target, l.running)).collect();
-    assert_eq!(loads, [(of("t0"), 1)]);
+    assert_eq!(loads, [(target_digest("t0"), 1)]);
     assert!(matches!(digest.samples[0].seen, Seen::FirstToken { .. }));
     assert_eq!(harness.dispatcher.digest().samples, []);
     let kind = ReportKind::Ended {
@@ -119,27 +120,27 @@
     harness.report("a", "t0", kind);
     let digest = harness.dispatcher.digest();
     let loads: Vec<_> = digest.loads.iter().map(|l| (l.target, l.running)).collect();
-    assert_eq!(loads, [(of("t0"), 0)]);
+    assert_eq!(loads, [(target_digest("t0"), 0)]);
 }
 
 // Daemons tell each other of each request. A digest with all that a daemon has on all targets takes
 // more bytes than the requests themselves: one change is told three times, and all of it four times a
 // second, so that a peer which missed all three learns it soon.
 #[test]
-fn a_change_is_told_three_times_and_all_of_it_now_and_then() {
+fn changes_are_sent_three_times_and_full_digests_periodically() {
     let mut harness = harness(&[8, 8]);
     harness.ask(ask("a", 0));
     harness.ask(ask("b", 0));
     harness.verdicts();
-    let told: Vec<_> = (0..5)
+    let load_counts: Vec<_> = (0..5)
         .map(|_| harness.dispatcher.digest().loads.len())
         .collect();
-    assert_eq!(told, [2, 2, 2, 0, 0]);
+    assert_eq!(load_counts, [2, 2, 2, 0, 0]);
     harness.report("a", "t0", FIRST_TOKEN);
-    let told: Vec<_> = (0..4)
+    let load_counts: Vec<_> = (0..4)
         .map(|_| harness.dispatcher.digest().loads.len())
         .collect();
-    assert_eq!(told, [1, 1, 1, 0]);
+    assert_eq!(load_counts, [1, 1, 1, 0]);
     harness.advance(Duration::from_millis(260));
     let digest = harness.dispatcher.digest();
     assert!(digest.whole);
@@ -149,31 +150,31 @@
 // The three digests that tell of a request's end are all lost. The slot looks taken until the next one
 // that tells all, and no longer.
 #[test]
-fn lost_digests_cost_a_quarter_of_a_second() {
-    let mut teller = harness(&[1]);
-    let mut hearer = harness(&[1]);
-    teller.ask(ask("a", 0));
-    tell(&hearer, "vm2", teller.dispatcher.digest());
-    teller.end("a", "t0");
+fn full_digest_makes_up_for_lost_ones() {
+    let mut sender = harness(&[1]);
+    let mut receiver = harness(&[1]);
+    sender.ask(ask("a", 0));
+    deliver_digest(&receiver, "vm2", sender.dispatcher.digest());
+    sender.end("a", "t0");
     for _ in 0..3 {
-        let _ = teller.dispatcher.digest();
+        let _ = sender.dispatcher.digest();
     }
-    hearer.ask(hurried("waits", 0));
-    tell(&hearer, "vm2", teller.dispatcher.digest());
-    assert_eq!(hearer.grants(), []);
-    teller.advance(Duration::from_millis(250));
-    tell(&hearer, "vm2", teller.dispatcher.digest());
-    assert_eq!(hearer.grants(), granted("waits", "t0"));
+    receiver.ask(ask_with_objective("waits", 0));
+    deliver_digest(&receiver, "vm2", sender.dispatcher.digest());
+    assert_eq!(receiver.grants(), []);
+    sender.advance(Duration::from_millis(250));
+    deliver_digest(&receiver, "vm2", sender.dispatcher.digest());
+    assert_eq!(receiver.grants(), granted("waits", "t0"));
 }
 
 // Where targets have room, a word on each request would change nobody's choice. What fills a target up,
 // or gives room back at a full one, is told at once, and who waits.
 #[test]
-fn what_decides_is_told_at_once() {
+fn changes_that_affect_placement_are_urgent() {
     let mut harness = harness(&[4]);
     let mut urgent = Vec::new();
     for request in ["a", "b", "c", "d", "e"] {
-        harness.ask(hurried(request, 0));
+        harness.ask(ask_with_objective(request, 0));
         harness.verdicts();
         urgent.push(harness.dispatcher.is_news_urgent());
         let _ = harness.dispatcher.digest();
--- a/crates/lilaccrank/tests/suite/pool_model.rs
+++ b/crates/lilaccrank/tests/suite/pool_model.rs
@@ -5,25 +5,25 @@
 //! in order of arrival and know no tiers, as those of the users do. What an engine can do, and the
 //! engines' speeds, are the users' own figures.
 
+#[path = "pool_model/dispatcher_policy.rs"]
+mod dispatcher_policy;
 #[path = "pool_model/engine.rs"]
 mod engine;
 #[path = "pool_model/load.rs"]
 pub mod load;
 #[path = "pool_model/naive.rs"]
 pub mod naive;
-#[path = "pool_model/placed.rs"]
-mod placed;
 
 use std::time::Duration;
 
+pub use dispatcher_policy::DispatcherPolicy;
 use engine::Engine;
 pub use load::{Kind, Load};
-pub use placed::Placed;
 
 /// Time between two looks at the pool.
 const TICK: Duration = Duration::from_millis(1);
 /// Part of the time left that a refused caller waits at most before it comes back.
-const RETURN_PART: f64 = 1.0 / 3.0;
+const MAX_RETRY_DELAY_FRACTION: f64 = 1.0 / 3.0;
 
 /// One request.
 #[derive(Clone, Debug)]
@@ -41,7 +41,7 @@
     /// Tokens of its prompt.
     pub prompt: u32,
     /// Whether it was refused before.
-    pub returned: bool,
+    pub has_retried: bool,
 }
 
 /// What a way to place requests decides.
@@ -63,9 +63,9 @@
     /// Its first token came.
     First,
     /// So many tokens came since the last word, each so many milliseconds after the other.
-    More(u32, f64),
+    Tokens(u32, f64),
     /// It was cut at its deadline, with so many tokens generated.
-    Cut(u32),
+    TimedOut(u32),
 }
 
 /// A way to place requests.
@@ -91,12 +91,12 @@
 
 impl Outcome {
     /// Part that was in time.
-    pub fn part_in_time(&self) -> f64 {
+    pub fn fraction_in_time(&self) -> f64 {
         f64::from(self.in_time) / f64::from((self.in_time + self.late + self.lost).max(1))
     }
 
     /// Part that was answered at all.
-    pub fn part_answered(&self) -> f64 {
+    pub fn fraction_answered(&self) -> f64 {
         let answered = self.in_time + self.late;
         f64::from(answered) / f64::from((answered + self.lost).max(1))
     }
@@ -112,11 +112,11 @@
     /// Tokens of the whole answer.
     pub length: u32,
     /// Whether all of it came by its deadline.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 /// Plays a load before a pool and returns what came of each kind.
-pub fn play(load: &Load, policy: &mut dyn Policy) -> [Outcome; 3] {
+pub fn simulate(load: &Load, policy: &mut dyn Policy) -> [Outcome; 3] {
     outcomes(&answers(load, policy))
 }
 
@@ -125,40 +125,40 @@
     let engines = (0..load.engines).map(|number| Engine::new(number, load.engine, load.speeds));
     let mut engines: Vec<Engine> = engines.collect();
     let mut requests = load.requests();
-    let mut coming: Vec<(u64, usize)> = requests.iter().map(|r| (r.arrived, r.id)).collect();
+    let mut arrivals: Vec<(u64, usize)> = requests.iter().map(|r| (r.arrived, r.id)).collect();
     let answers = requests.iter().map(|request| Answer {
         first: None,
         kind: request.kind,
         length: request.output,
-        whole: false,
+        is_complete: false,
     });
     let mut answers: Vec<Answer> = answers.collect();
     for now in 0..load.end_ms() {
         for engine in engines.iter_mut().filter(|e| load.is_down(e.number, now)) {
             engine.crash();
         }
-        coming.retain(|(at, id)| {
-            let comes = *at <= now;
-            if comes {
+        arrivals.retain(|(at, id)| {
+            let is_due = *at <= now;
+            if is_due {
                 policy.arrive(&requests[*id], now);
             }
-            !comes
+            !is_due
         });
         for decision in policy.decide(&engines, now) {
             match decision {
                 Decision::Move(id, engine) => {
-                    let left = engines.iter_mut().find_map(|from| from.give_up(id));
-                    if let Some(generated) = left {
-                        engines[engine].take(&requests[id], generated);
+                    let cancelled = engines.iter_mut().find_map(|from| from.cancel(id));
+                    if let Some(generated) = cancelled {
+                        engines[engine].enqueue(&requests[id], generated);
                     }
                 }
-                Decision::Send(id, engine) => engines[engine].take(&requests[id], 0),
+                Decision::Send(id, engine) => engines[engine].enqueue(&requests[id], 0),
                 Decision::Refuse(id, after) => {
                     let request = &mut requests[id];
-                    let left = request.left(now);
-                    let after = after.min((left as f64 * RETURN_PART) as u64);
-                    if !std::mem::replace(&mut request.returned, true) && left > 0 {
-                        coming.push((now + after, id));
+                    let time_left = request.time_left(now);
+                    let after = after.min((time_left as f64 * MAX_RETRY_DELAY_FRACTION) as u64);
+                    if !std::mem::replace(&mut request.has_retried, true) && time_left > 0 {
+                        arrivals.push((now + after, id));
                     }
                 }
             }
@@ -170,8 +170,8 @@
                     Progress::First => {
                         answer.first.get_or_insert(now - requests[id].arrived);
                     }
-                    Progress::Ended => answer.whole = true,
-                    Progress::Cut(_) | Progress::More(..) => {}
+                    Progress::Ended => answer.is_complete = true,
+                    Progress::TimedOut(_) | Progress::Tokens(..) => {}
                 }
                 policy.progress(&requests[id], engine.number, progress, now);
             }
@@ -195,7 +195,7 @@
 
 impl Request {
     /// Milliseconds until its caller's deadline.
-    pub fn left(&self, now: u64) -> u64 {
+    pub fn time_left(&self, now: u64) -> u64 {
         (self.arrived + self.kind.deadline_ms()).saturating_sub(now)
     }
 }
--- a/crates/lilaccrank/tests/suite/pool_model/placed.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/dispatcher_policy.rs
@@ -18,31 +18,31 @@
 use super::{Decision, Engine, Load, Policy, Progress, Request, TICK};
 
 /// Milliseconds between two digests of a daemon.
-const TOLD_EVERY: u64 = 10;
+const DIGEST_INTERVAL_MS: u64 = 10;
 
 /// Tells the ask for a migration from the first ask of the same request.
-const MOVED: &str = "+";
+const MIGRATION_SUFFIX: &str = "+";
 
 /// An answer that is being generated.
 struct Running {
     progress: StreamProgress,
     engine: usize,
-    looked: Instant,
-    moves: Moves,
+    checked_at: Instant,
+    migration: Migration,
     request: Request,
     tokens: u32,
 }
 
 /// Whether an answer migrates to another engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Moves {
-    Asked,
+enum Migration {
+    Requested,
     Done,
-    No,
+    NotRequested,
 }
 
 /// The dispatchers of all daemons.
-pub struct Placed {
+pub struct DispatcherPolicy {
     clock: PausedClock,
     daemons: Vec<Dispatcher<PausedClock>>,
     ended: IndexMap<usize, Request>,
@@ -50,13 +50,13 @@
     load: Load,
     running: IndexMap<usize, Running>,
     /// Whether they tell each other what they have.
-    shared: bool,
+    shares_digests: bool,
     spawner: LocalSpawner,
     verdicts: Rc<RefCell<Vec<Verdict>>>,
 }
 
-impl Placed {
-    pub fn new(load: &Load, shared: bool) -> Self {
+impl DispatcherPolicy {
+    pub fn new(load: &Load, shares_digests: bool) -> Self {
         let clock = PausedClock::new();
         let targets = (0..load.engines).map(|number| Target {
             id: number.to_string(),
@@ -97,13 +97,13 @@
             executor,
             load: load.clone(),
             running: IndexMap::new(),
-            shared,
+            shares_digests,
             spawner,
             verdicts: Rc::default(),
         }
     }
 
-    fn tell(&self) {
+    fn exchange_digests(&self) {
         for (from, dispatcher) in self.daemons.iter().enumerate() {
             let digest = dispatcher.digest();
             for (to, other) in self.daemons.iter().enumerate() {
@@ -115,17 +115,17 @@
     }
 }
 
-impl Placed {
+impl DispatcherPolicy {
     fn ask(&self, request: &Request, now: u64) -> Ask {
-        let left = |ms: u64| Duration::from_millis((request.arrived + ms).saturating_sub(now));
+        let time_left = |ms: u64| Duration::from_millis((request.arrived + ms).saturating_sub(now));
         Ask {
             ask: 1,
             customer: "depot".to_owned(),
-            deadline: Some(left(request.kind.deadline_ms())),
+            deadline: Some(time_left(request.kind.deadline_ms())),
             entry: format!("vm{}", request.daemon),
             entry_incarnation: 1,
-            max_tokens: self.load.most_tokens(request),
-            objective: Some(left(request.kind.objective_ms())),
+            max_tokens: self.load.token_limit(request),
+            objective: Some(time_left(request.kind.objective_ms())),
             prompt_tokens: request.prompt,
             request: request.id.to_string(),
             tier: request.kind.tier(),
@@ -145,19 +145,19 @@
     }
 
     /// Asks for other engines for answers that are projected to miss their deadline.
-    fn look(&mut self, now: u64) {
+    fn request_migrations(&mut self, now: u64) {
         let at = self.clock.now();
         let mut asks = Vec::new();
         for running in self.running.values_mut() {
-            let is_due = at >= running.looked + stream_progress::CHECK_INTERVAL;
-            if running.moves != Moves::No || !is_due {
+            let is_due = at >= running.checked_at + stream_progress::CHECK_INTERVAL;
+            if running.migration != Migration::NotRequested || !is_due {
                 continue;
             }
-            running.looked = at;
+            running.checked_at = at;
             let Some(remaining) = running.progress.projected_overrun(at) else {
                 continue;
             };
-            running.moves = Moves::Asked;
+            running.migration = Migration::Requested;
             let partial = PartialAnswer {
                 remaining: Some(remaining),
                 tokens: running.tokens,
@@ -168,18 +168,18 @@
             let ask = Ask {
                 partial: Some(partial),
                 exclusions: vec![TargetLife::from(&*engine.to_string())],
-                request: format!("{}{MOVED}", request.id),
+                request: format!("{}{MIGRATION_SUFFIX}", request.id),
                 ..self.ask(&request, now)
             };
             self.send(request.daemon, ask);
         }
     }
 
-    fn report(&self, request: &Request, name: String, engine: usize, kind: ReportKind) {
+    fn report(&self, request: &Request, ask_id: String, engine: usize, kind: ReportKind) {
         self.daemons[request.daemon].report(&Report {
             ask: 1,
             kind,
-            request: name,
+            request: ask_id,
             target: TargetLife::from(&*engine.to_string()),
         });
     }
@@ -188,12 +188,12 @@
         match verdict {
             Verdict::Grant(grant) => {
                 let engine = grant.target.id.parse().unwrap();
-                match grant.request.strip_suffix(MOVED) {
+                match grant.request.strip_suffix(MIGRATION_SUFFIX) {
                     None => Some(Decision::Send(grant.request.parse().unwrap(), engine)),
-                    Some(id) => self.moved(id.parse().unwrap(), engine),
+                    Some(id) => self.migrate(id.parse().unwrap(), engine),
                 }
             }
-            Verdict::Refuse(refuse) => match refuse.request.strip_suffix(MOVED) {
+            Verdict::Refuse(refuse) => match refuse.request.strip_suffix(MIGRATION_SUFFIX) {
                 None => {
                     let after = refuse.retry_after.unwrap_or_default();
                     let id = refuse.request.parse().unwrap();
@@ -202,7 +202,7 @@
                 Some(id) => {
                     let running = self.running.get_mut(&id.parse::<usize>().unwrap());
                     if let Some(running) = running {
-                        running.moves = Moves::No;
+                        running.migration = Migration::NotRequested;
                     }
                     None
                 }
@@ -211,7 +211,7 @@
     }
 
     /// Migrates an answer; gives the slot back if the answer has ended meanwhile.
-    fn moved(&mut self, id: usize, engine: usize) -> Option<Decision> {
+    fn migrate(&mut self, id: usize, engine: usize) -> Option<Decision> {
         let Some(running) = self.running.get_mut(&id) else {
             let request = &self.ended[&id];
             let kind = ReportKind::Ended {
@@ -219,10 +219,10 @@
                 outcome: Outcome::Unused,
                 prefill: None,
             };
-            self.report(request, format!("{id}{MOVED}"), engine, kind);
+            self.report(request, format!("{id}{MIGRATION_SUFFIX}"), engine, kind);
             return None;
         };
-        running.moves = Moves::Done;
+        running.migration = Migration::Done;
         let from = std::mem::replace(&mut running.engine, engine);
         let (request, decoded) = (running.request.clone(), running.tokens);
         let kind = ReportKind::Ended {
@@ -235,17 +235,17 @@
     }
 }
 
-impl Policy for Placed {
+impl Policy for DispatcherPolicy {
     fn arrive(&mut self, request: &Request, now: u64) {
         self.send(request.daemon, self.ask(request, now));
     }
 
     fn decide(&mut self, _: &[Engine], now: u64) -> Vec<Decision> {
         self.clock.advance(TICK);
-        if self.shared && now.is_multiple_of(TOLD_EVERY) {
-            self.tell();
+        if self.shares_digests && now.is_multiple_of(DIGEST_INTERVAL_MS) {
+            self.exchange_digests();
         }
-        self.look(now);
+        self.request_migrations(now);
         self.executor.run_until_stalled();
         let verdicts = self.verdicts.take().into_iter();
         let decisions = verdicts.filter_map(|verdict| self.decision(verdict));
@@ -255,23 +255,26 @@
     fn progress(&mut self, request: &Request, engine: usize, progress: Progress, now: u64) {
         let at = self.clock.now();
         let running = self.running.entry(request.id).or_insert_with(|| Running {
-            progress: StreamProgress::new(0, Some(at + Duration::from_millis(request.left(now)))),
+            progress: StreamProgress::new(
+                0,
+                Some(at + Duration::from_millis(request.time_left(now))),
+            ),
             engine,
-            looked: at,
-            moves: Moves::No,
+            checked_at: at,
+            migration: Migration::NotRequested,
             request: request.clone(),
             tokens: 0,
         });
-        let name = match running.moves {
-            Moves::Done => format!("{}{MOVED}", request.id),
-            Moves::Asked | Moves::No => request.id.to_string(),
+        let ask_id = match running.migration {
+            Migration::Done => format!("{}{MIGRATION_SUFFIX}", request.id),
+            Migration::Requested | Migration::NotRequested => request.id.to_string(),
         };
         let mut received = |tokens: u32| {
             running.tokens += tokens;
             running.progress.received(tokens, at);
         };
         let kind = match progress {
-            Progress::Cut(decoded) => ReportKind::Ended {
+            Progress::TimedOut(decoded) => ReportKind::Ended {
                 decoded,
                 outcome: Outcome::Cancelled,
                 prefill: None,
@@ -287,10 +290,10 @@
                     after: Duration::from_millis(now - request.arrived),
                 }
             }
-            Progress::More(tokens, each) => {
+            Progress::Tokens(tokens, token_interval) => {
                 received(tokens);
                 ReportKind::Progress {
-                    step: Duration::from_secs_f64(each / 1_000.0),
+                    step: Duration::from_secs_f64(token_interval / 1_000.0),
                     tokens,
                 }
             }
@@ -299,6 +302,6 @@
             self.running.swap_remove(&request.id);
             self.ended.insert(request.id, request.clone());
         }
-        self.report(request, name, engine, kind);
+        self.report(request, ask_id, engine, kind);
     }
 }
--- a/crates/lilaccrank/tests/suite/pool_model/load.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/load.rs
@@ -1,10 +1,10 @@
 //! Load patterns, from the users' sheet for their depots.
 
 use super::Request;
-use super::engine::Model;
+use super::engine::EngineSpec;
 
 /// How many times longer than the mean the longest answers are.
-const LONGEST: f64 = 10.0;
+const MAX_OUTPUT_RATIO: f64 = 10.0;
 
 /// What is asked, for each user in the order of its urgency.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -24,7 +24,7 @@
 }
 
 /// The users' figures for a kind of request.
-struct Sheet {
+struct Profile {
     deadline_ms: u64,
     /// Longest prompt, in tokens.
     longest: f64,
@@ -41,27 +41,27 @@
 
 impl Kind {
     /// Kinds of the depots and of the consortium.
-    pub const DEPOTS: [Self; 3] = [Self::Review, Self::Report, Self::Chat];
+    pub const URGENT_SHORT: [Self; 3] = [Self::Review, Self::Report, Self::Chat];
     /// Kinds of the caterers.
-    pub const CATERERS: [Self; 3] = [Self::Proposal, Self::Question, Self::Tag];
+    pub const URGENT_LONG: [Self; 3] = [Self::Proposal, Self::Question, Self::Tag];
 
     /// Milliseconds in which its caller expects the first token.
     pub fn objective_ms(self) -> u64 {
-        self.sheet().objective_ms
+        self.profile().objective_ms
     }
 
     /// Milliseconds after which its caller leaves.
     pub fn deadline_ms(self) -> u64 {
-        self.sheet().deadline_ms
+        self.profile().deadline_ms
     }
 
     /// Its tier.
     pub fn tier(self) -> u8 {
-        self.sheet().tier
+        self.profile().tier
     }
 
-    fn sheet(self) -> Sheet {
-        let sheet = |tier, per_s, objective_ms, deadline_ms, prompt, longest, output| Sheet {
+    fn profile(self) -> Profile {
+        let profile = |tier, per_s, objective_ms, deadline_ms, prompt, longest, output| Profile {
             deadline_ms,
             longest,
             objective_ms,
@@ -71,12 +71,12 @@
             tier,
         };
         match self {
-            Self::Review => sheet(0, 16.5, 800, 6_000, 2_890.0, 18_300.0, 51.0),
-            Self::Report => sheet(1, 21.9, 1_200, 4_000, 1_800.0, 6_870.0, 24.0),
-            Self::Chat => sheet(2, 24.5, 1_500, 15_000, 543.0, 2_310.0, 267.0),
-            Self::Proposal => sheet(0, 24.5, 800, 15_000, 6_610.0, 41_000.0, 380.0),
-            Self::Question => sheet(1, 35.4, 400, 15_000, 628.0, 2_700.0, 290.0),
-            Self::Tag => sheet(2, 39.4, 500, 3_000, 1_800.0, 6_870.0, 25.0),
+            Self::Review => profile(0, 16.5, 800, 6_000, 2_890.0, 18_300.0, 51.0),
+            Self::Report => profile(1, 21.9, 1_200, 4_000, 1_800.0, 6_870.0, 24.0),
+            Self::Chat => profile(2, 24.5, 1_500, 15_000, 543.0, 2_310.0, 267.0),
+            Self::Proposal => profile(0, 24.5, 800, 15_000, 6_610.0, 41_000.0, 380.0),
+            Self::Question => profile(1, 35.4, 400, 15_000, 628.0, 2_700.0, 290.0),
+            Self::Tag => profile(2, 39.4, 500, 3_000, 1_800.0, 6_870.0, 25.0),
         }
     }
 }
@@ -89,7 +89,7 @@
     /// Engines that are down, from and until when in milliseconds.
     pub down: Vec<(usize, u64, u64)>,
     /// What one engine of the pool can do.
-    pub engine: Model,
+    pub engine: EngineSpec,
     /// Engines of the pool.
     pub engines: usize,
     /// What is asked.
@@ -100,9 +100,9 @@
     pub speeds: [f64; 3],
     /// Whether callers name the length of their answer as the most that they take; else they name the
     /// longest of its kind, and nobody knows how long it becomes.
-    pub tells_lengths: bool,
+    pub has_exact_token_limits: bool,
     /// How many times the usual rate comes, from which second on.
-    pub times: Vec<(u64, [f64; 3])>,
+    pub rate_factors: Vec<(u64, [f64; 3])>,
     /// Seconds in which requests come.
     pub seconds: u64,
 }
@@ -113,13 +113,13 @@
         Self {
             daemons: 7,
             down: Vec::new(),
-            engine: Model::DEPOTS,
+            engine: EngineSpec::STANDARD,
             engines: 12,
-            kinds: Kind::DEPOTS,
+            kinds: Kind::URGENT_SHORT,
             seed,
             speeds: [0.6, 1.7, 1.7],
-            tells_lengths: true,
-            times: vec![(0, [1.0; 3])],
+            has_exact_token_limits: true,
+            rate_factors: vec![(0, [1.0; 3])],
             seconds: 8,
         }
     }
@@ -127,7 +127,7 @@
     /// Devices wake on the hour: 2.1 times the usual rate for three seconds.
     pub fn hourly_burst(seed: u64) -> Self {
         Self {
-            times: vec![(0, [1.0; 3]), (2, [2.1; 3]), (5, [1.0; 3])],
+            rate_factors: vec![(0, [1.0; 3]), (2, [2.1; 3]), (5, [1.0; 3])],
             ..Self::usual(seed)
         }
     }
@@ -143,7 +143,7 @@
     /// Four times the usual chats, whose answers hold a slot for seconds.
     pub fn flood_of_chats(seed: u64) -> Self {
         Self {
-            times: vec![(0, [1.0; 3]), (2, [1.0, 1.0, 4.0]), (6, [1.0; 3])],
+            rate_factors: vec![(0, [1.0; 3]), (2, [1.0, 1.0, 4.0]), (6, [1.0; 3])],
             ..Self::usual(seed)
         }
     }
@@ -157,32 +157,32 @@
             engines: 9,
             seconds: 16,
             speeds: [1.0 / 0.6, 1.0 / 1.7, 1.0 / 1.7],
-            tells_lengths: false,
-            times: vec![(0, [1.6; 3]), (3, [1.0; 3])],
+            has_exact_token_limits: false,
+            rate_factors: vec![(0, [1.6; 3]), (3, [1.0; 3])],
             ..Self::usual(seed)
         }
     }
 
     /// The caterers at their busiest: half as much again as usual, before twelve engines of which one in three is 4.4
     /// times slower. Tags, in the last tier, hold a slot for a tenth of the time of the others.
-    pub fn busy_caterers(seed: u64) -> Self {
+    pub fn busy_with_short_last_tier(seed: u64) -> Self {
         Self {
-            engine: Model::CATERERS,
-            kinds: Kind::CATERERS,
+            engine: EngineSpec::FAST,
+            kinds: Kind::URGENT_LONG,
             seconds: 12,
             speeds: [1.0, 1.0, 1.0 / 4.4],
-            tells_lengths: false,
-            times: vec![(0, [1.5; 3])],
+            has_exact_token_limits: false,
+            rate_factors: vec![(0, [1.5; 3])],
             ..Self::usual(seed)
         }
     }
 
     /// The most tokens that the caller of a request takes.
-    pub fn most_tokens(&self, request: &Request) -> u32 {
-        if self.tells_lengths {
+    pub fn token_limit(&self, request: &Request) -> u32 {
+        if self.has_exact_token_limits {
             return request.output;
         }
-        (request.kind.sheet().output * LONGEST) as u32
+        (request.kind.profile().output * MAX_OUTPUT_RATIO) as u32
     }
 
     /// When all callers have their answers or have left.
@@ -202,8 +202,8 @@
         let mut requests = Vec::new();
         for ms in 0..self.seconds * 1_000 {
             for kind in self.kinds {
-                let times = self.times_at(ms / 1_000)[usize::from(kind.tier())];
-                let rate = kind.sheet().per_s * times;
+                let rate_factors = self.rate_factors_at(ms / 1_000)[usize::from(kind.tier())];
+                let rate = kind.profile().per_s * rate_factors;
                 if random.uniform() < rate / 1_000.0 {
                     requests.push(self.request(kind, ms, requests.len(), &mut random));
                 }
@@ -213,26 +213,29 @@
     }
 
     fn request(&self, kind: Kind, arrived: u64, id: usize, random: &mut Random) -> Request {
-        let Sheet {
+        let Profile {
             longest,
             output,
             prompt,
             ..
-        } = kind.sheet();
+        } = kind.profile();
         Request {
             arrived,
             daemon: (random.uniform() * self.daemons as f64) as usize,
             id,
             kind,
-            output: random.spread(output, 1.5, output * LONGEST).max(3.0) as u32,
-            prompt: random.spread(prompt, 1.0, longest).max(20.0) as u32,
-            returned: false,
+            output: random
+                .log_normal(output, 1.5, output * MAX_OUTPUT_RATIO)
+                .max(3.0) as u32,
+            prompt: random.log_normal(prompt, 1.0, longest).max(20.0) as u32,
+            has_retried: false,
         }
     }
 
-    fn times_at(&self, second: u64) -> [f64; 3] {
-        let mut past = self.times.iter().filter(|(from, _)| *from <= second);
-        past.next_back().map_or([1.0; 3], |(_, times)| *times)
+    fn rate_factors_at(&self, second: u64) -> [f64; 3] {
+        let mut past = self.rate_factors.iter().filter(|(from, _)| *from <= second);
+        past.next_back()
+            .map_or([1.0; 3], |(_, rate_factors)| *rate_factors)
     }
 }
 
@@ -254,10 +257,10 @@
     }
 
     /// Log-normal with this mean and sigma.
-    fn spread(&mut self, mean: f64, sigma: f64, most: f64) -> f64 {
+    fn log_normal(&mut self, mean: f64, sigma: f64, limit: f64) -> f64 {
         let (a, b) = (self.uniform().max(1e-12), self.uniform());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
         let median = mean / (sigma * sigma / 2.0).exp();
-        (median * (sigma * normal).exp()).min(most)
+        (median * (sigma * normal).exp()).min(limit)
     }
 }
--- a/crates/lilaccrank/tests/suite/pool_model/naive.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/naive.rs
@@ -4,7 +4,7 @@
 use super::{Decision, Engine, Policy, Progress, Request};
 
 /// Milliseconds by which an engine's report of its load lags.
-const LAG: u64 = 1_500;
+const REPORT_LAG_MS: u64 = 1_500;
 
 /// How an engine is picked.
 #[derive(Clone, Copy, Debug)]
@@ -19,7 +19,7 @@
 
 /// A naive way to place requests.
 pub struct Naive {
-    coming: Vec<usize>,
+    arrivals: Vec<usize>,
     next: usize,
     pick: Pick,
     random: Random,
@@ -30,7 +30,7 @@
 impl Naive {
     pub fn new(pick: Pick) -> Self {
         Self {
-            coming: Vec::new(),
+            arrivals: Vec::new(),
             next: 0,
             pick,
             random: Random::new(7),
@@ -56,7 +56,7 @@
 
 impl Policy for Naive {
     fn arrive(&mut self, request: &Request, _: u64) {
-        self.coming.push(request.id);
+        self.arrivals.push(request.id);
     }
 
     fn decide(&mut self, engines: &[Engine], now: u64) -> Vec<Decision> {
@@ -64,12 +64,15 @@
             let loads = engines.iter().map(Engine::load).collect();
             self.reports.push((now, loads));
         }
-        let seen = self.reports.iter().rfind(|(at, _)| at + LAG <= now);
-        if let Some((_, loads)) = seen {
+        let latest = self
+            .reports
+            .iter()
+            .rfind(|(at, _)| at + REPORT_LAG_MS <= now);
+        if let Some((_, loads)) = latest {
             self.reported.clone_from(loads);
         }
-        let coming = std::mem::take(&mut self.coming);
-        let sent = coming.into_iter();
+        let arrivals = std::mem::take(&mut self.arrivals);
+        let sent = arrivals.into_iter();
         sent.map(|id| Decision::Send(id, self.pick(engines.len())))
             .collect()
     }
--- a/crates/lilaccrank/tests/suite/rate_limit.rs
+++ b/crates/lilaccrank/tests/suite/rate_limit.rs
@@ -31,12 +31,12 @@
 }
 
 /// What a target bears in four seconds: one and a half times its rate, and five requests.
-fn allowed(per_s: f64) -> usize {
+fn tolerated_requests(per_s: f64) -> usize {
     (1.5 * 4.0 * per_s + 5.0) as usize
 }
 
 /// Most requests in four seconds, if each bucket is full and there are always some to send.
-fn most_in_four_seconds(shares: &[Share]) -> usize {
+fn max_requests_in_four_seconds(shares: &[Share]) -> usize {
     let now = Instant::now();
     let mut buckets: Vec<_> = shares
         .iter()
@@ -64,14 +64,17 @@
             let shares = shares(per_s, &cells(count));
             let sum: f64 = shares.iter().map(|share| share.per_s).sum();
             assert!((sum - per_s).abs() < 1e-6);
-            let most = most_in_four_seconds(&shares);
-            assert!(most <= allowed(per_s), "{most}: {count} cells, {per_s}");
+            let most = max_requests_in_four_seconds(&shares);
+            assert!(
+                most <= tolerated_requests(per_s),
+                "{most}: {count} cells, {per_s}"
+            );
         }
     }
 }
 
 quickcheck! {
-    fn any_rate_keeps_a_way_open(per_s: f64, count: u8) -> bool {
+    fn any_rate_leaves_a_positive_share(per_s: f64, count: u8) -> bool {
         let shares = shares(per_s, &cells(u16::from(count) + 1));
         !shares.is_empty() && shares.iter().all(|share| share.per_s > 0.0 && share.burst >= 1.0)
     }
@@ -84,15 +87,15 @@
     for targets in [3, 5, 12, 24, 160] {
         for me in &members {
             let cell = Cell::new(&members, me);
-            let mut pool = targets_of(targets);
+            let mut pool = make_targets(targets);
             cell.keep_targets(&mut pool);
             let sharers = cell.sharers(targets);
             assert!(sharers.contains(&cell.id()));
             let others = members.iter().map(|vm| Cell::new(&members, vm));
             for other in others.filter(|other| other.id() != cell.id()) {
-                let mut its_pool = targets_of(targets);
-                other.keep_targets(&mut its_pool);
-                assert_eq!(sharers.contains(&other.id()), pool == its_pool);
+                let mut other_pool = make_targets(targets);
+                other.keep_targets(&mut other_pool);
+                assert_eq!(sharers.contains(&other.id()), pool == other_pool);
             }
         }
     }
@@ -100,7 +103,7 @@
     assert_eq!(Cell::default().sharers(12), [Cell::default().id()]);
 }
 
-fn targets_of(count: usize) -> Vec<Target> {
+fn make_targets(count: usize) -> Vec<Target> {
     let target = |number| Target {
         id: format!("t{number}"),
         ..Target::default()
@@ -119,7 +122,7 @@
 
 impl Dispatchers {
     fn new(daemons: usize, per_s: f64) -> Self {
-        let daemon = |number| Harness::of(&format!("vm-{number}"), &[60], 1_000, TICK * 100);
+        let daemon = |number| Harness::for_vm(&format!("vm-{number}"), &[60], 1_000, TICK * 100);
         let daemons: Vec<_> = (0..daemons).map(daemon).collect();
         let target = TargetLife::from("t0").digest();
         let cells = cells(1);
@@ -184,7 +187,10 @@
                 .map(|window| window.iter().sum::<usize>())
                 .max()
                 .unwrap();
-            assert!(most <= allowed(per_s), "{most}: {daemons} daemons, {per_s}");
+            assert!(
+                most <= tolerated_requests(per_s),
+                "{most}: {daemons} daemons, {per_s}"
+            );
             let sent: usize = cell.grants.iter().sum();
             let share = sent as f64 / (30.0 * per_s);
             assert!(
@@ -199,24 +205,27 @@
 #[test]
 fn an_earlier_tier_at_another_daemon_goes_first() {
     let mut cell = Dispatchers::new(2, 2.0);
-    let mut by_daemon = [0, 0];
+    let mut waiting_by_daemon = [0, 0];
     for _ in 0..600 {
         cell.tick(|number| number as u8);
-        for (count, daemon) in by_daemon.iter_mut().zip(&cell.daemons) {
-            *count = cell_waiting(daemon);
+        for (count, daemon) in waiting_by_daemon.iter_mut().zip(&cell.daemons) {
+            *count = waiting_asks(daemon);
         }
     }
-    assert!(by_daemon[0] < by_daemon[1], "{by_daemon:?}");
-    assert_eq!(by_daemon[1], 600);
+    assert!(
+        waiting_by_daemon[0] < waiting_by_daemon[1],
+        "{waiting_by_daemon:?}"
+    );
+    assert_eq!(waiting_by_daemon[1], 600);
 }
 
-fn cell_waiting(daemon: &Harness) -> usize {
+fn waiting_asks(daemon: &Harness) -> usize {
     let status = daemon.dispatcher.status();
     status.waiting.iter().map(|tier| tier.waiting).sum()
 }
 
 #[test]
-fn a_bucket_that_was_set_anew_keeps_its_tokens() {
+fn changed_rate_keeps_the_tokens() {
     let now = Instant::now();
     let share = |per_s| Share { burst: 2.0, per_s };
     let mut bucket = RateLimit::new(share(2.0), now);
@@ -250,27 +259,27 @@
     }
 }
 
-fn limits(known: &Advisories, now: Instant) -> Vec<(u32, f64)> {
-    known.rate_limits(now).collect()
+fn limits(advisories: &Advisories, now: Instant) -> Vec<(u32, f64)> {
+    advisories.rate_limits(now).collect()
 }
 
 #[test]
-fn the_latest_answer_decides() {
+fn latest_answer_decides() {
     let now = Instant::now();
     let after = |ms| now + Duration::from_millis(ms);
-    let mut known = Advisories::default();
-    assert!(!known.note(limit(None), now), "no limit is no news");
-    assert!(known.note(limit(Some(2_400)), after(1)));
-    assert!(!known.note(limit(Some(2_400)), after(2)));
-    assert_eq!(limits(&known, after(2)), [(TARGET, 2.4)]);
-    assert!(known.note(limit(None), after(3)));
-    assert!(limits(&known, after(3)).is_empty());
+    let mut advisories = Advisories::default();
+    assert!(!advisories.note(limit(None), now), "no limit is no news");
+    assert!(advisories.note(limit(Some(2_400)), after(1)));
+    assert!(!advisories.note(limit(Some(2_400)), after(2)));
+    assert_eq!(limits(&advisories, after(2)), [(TARGET, 2.4)]);
+    assert!(advisories.note(limit(None), after(3)));
+    assert!(limits(&advisories, after(3)).is_empty());
     let late = Advisory {
         age_ms: 50,
         fact: limit(Some(2_400)),
     };
     assert!(
-        known.merge(&[late], after(40)).is_empty(),
+        advisories.merge(&[late], after(40)).is_empty(),
         "seen before it was lifted"
     );
 }
@@ -278,18 +287,18 @@
 // Guards against a limit that outlives the answers that told of it, and against one that is forgotten while it
 // is still advertised.
 #[test]
-fn a_limit_lives_by_the_answers_that_tell_of_it() {
+fn limit_expires_without_new_answers() {
     let now = Instant::now();
-    let mut known = Advisories::default();
-    known.note(limit(Some(500)), now);
-    let mut told = known.take_updates(8, now).len();
+    let mut advisories = Advisories::default();
+    advisories.note(limit(Some(500)), now);
+    let mut sent_updates = advisories.take_updates(8, now).len();
     for second in 1..100 {
         let at = now + Duration::from_secs(second);
-        known.note(limit(Some(500)), at);
-        told += known.take_updates(8, at).len();
-        assert_eq!(limits(&known, at), [(TARGET, 0.5)]);
+        advisories.note(limit(Some(500)), at);
+        sent_updates += advisories.take_updates(8, at).len();
+        assert_eq!(limits(&advisories, at), [(TARGET, 0.5)]);
     }
-    assert!(told <= 3 * 8, "{told} times told in 100 s");
-    let over = now + Duration::from_secs(99) + RATE_LIMIT_LIFETIME;
-    assert!(limits(&known, over).is_empty());
+    assert!(sent_updates <= 3 * 8, "{sent_updates} times told in 100 s");
+    let expiry = now + Duration::from_secs(99) + RATE_LIMIT_LIFETIME;
+    assert!(limits(&advisories, expiry).is_empty());
 }
