--- a/crates/lilaccrank/benches/decision.rs
+++ b/crates/lilaccrank/benches/decision.rs
@@ -1,4 +1,4 @@
-//! Cost of one decision: a new ask is judged and queued, a request ends, the next is granted.
+//! Benchmarks one decision: a new ask is admitted and queued, a request ends, the next one is granted.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,20 +18,20 @@
 const CUSTOMERS: usize = 100;
 const DATA_CENTRE: &str = "portmore";
 const DEADLINE: Duration = Duration::from_secs(86_400);
-/// Time that a request runs.
+/// Time from grant to end of each request.
 const SERVICE_TIME: Duration = Duration::from_secs(1);
 const SLOTS: u32 = 8;
 const TARGET_COUNTS: [usize; 3] = [10, 100, 700];
 const TIERS: usize = 4;
 const WAITING_COUNTS: [usize; 4] = [10, 100, 1_000, 10_000];
 
-/// A pool with full targets and asks behind them.
+/// A pool whose targets are full and whose queue holds a constant number of asks.
 struct SaturatedPool {
     asks: FuturesUnordered<LocalBoxFuture<'static, Verdict>>,
     clock: PausedClock,
     dispatcher: Dispatcher<PausedClock>,
     next: usize,
-    /// Time between two ends.
+    /// Time between two ends of requests.
     completion_interval: Duration,
     running: VecDeque<Grant>,
 }
@@ -105,7 +105,7 @@
         while let Some(Some(verdict)) = self.asks.next().now_or_never() {
             match verdict {
                 Verdict::Grant(grant) => self.running.push_back(grant),
-                Verdict::Refuse(refuse) => panic!("the queue has room, but {refuse:?}"),
+                Verdict::Refuse(refuse) => panic!("refused below the queue limit: {refuse:?}"),
             }
         }
     }
@@ -114,7 +114,7 @@
         self.clock.advance(self.completion_interval);
         self.arrive();
         let Some(ended) = self.running.pop_front() else {
-            panic!("nothing runs");
+            panic!("no request is running");
         };
         self.dispatcher.report(&Report {
             ask: 1,
--- a/crates/lilaccrank/tests/suite/dispatch_affinity.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_affinity.rs
@@ -1,4 +1,5 @@
-//! Prefixes at the dispatcher: what is believed, waited for and given up.
+//! Prefix affinity: which blocks the dispatcher assumes to be cached and how long requests wait for
+//! a target that has their prefix.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,8 +11,8 @@
 use crate::dispatch_fixtures::{FIRST_TOKEN, ask, granted, harness};
 use crate::dispatch_harness::Harness;
 
-// A long prompt goes to an engine that dropped it. The event of the eviction was lost in a gap.
-// After a gap nothing is believed of that target.
+// Guards against a long prompt sent to an engine that has evicted it, when the batch with the eviction
+// was lost. A gap in the sequence numbers drops as many blocks as the lost batches may have evicted.
 #[test]
 fn large_sequence_gap_clears_the_cached_blocks() {
     let harness = harness(&[8, 8]);
@@ -29,8 +30,8 @@
     assert_eq!(cached(&harness), 1);
 }
 
-// Long prompts are read again and again, and answers come late. One event of an eviction was lost,
-// and all that was believed of the target with it. One lost event costs one block, the oldest.
+// Guards against prefilling long prompts again and again because one lost event cleared all cached
+// blocks of a target. With batches of one event, each lost batch drops one block, the oldest.
 #[test]
 fn lost_event_drops_the_oldest_block() {
     let harness = harness(&[8, 8]);
@@ -50,9 +51,9 @@
     assert_eq!(cached(), 1);
 }
 
-// A survey is read twice. The second caller's comes while an engine reads the first one, finds
-// nothing in the cache and is read next to it. It waits for the first token of the first one, but
-// no longer than three times its own reading.
+// Guards against prefilling the same prefix twice: a second request arrives while an engine still
+// prefills the first one and finds nothing in the cache. It waits for the first token of the first
+// request, but no longer than three times its own prefill. The most urgent tier does not wait.
 #[test]
 fn ask_waits_for_a_prefix_in_prefill() {
     let mut harness = harness(&[8, 8]);
@@ -79,8 +80,9 @@
     assert_eq!(harness.grants().len(), 1);
 }
 
-// A prompt is read anew although an engine holds it; or all with one prefix queue at its holder
-// while others idle. The holder is chosen until the wait there costs more than the reading.
+// Guards against prefilling a prompt again although a target has it cached, and against queueing all
+// requests with one prefix at that target while others are idle. It is chosen until the wait there
+// costs more than the prefill.
 #[test]
 fn affinity_yields_to_load() {
     let mut harness = harness(&[64, 64]);
@@ -105,9 +107,9 @@
     assert_eq!(counts.len(), 2, "{counts:?}");
 }
 
-// In a full pool every prompt is read again, since the slot that comes free is mostly not at its
-// holder. An ask lets others pass for three times the reading that its holder saves, then
-// goes anywhere.
+// Guards against prefilling every prompt again in a full pool, where the next free slot is mostly at a
+// target without the prefix. A request lets others pass for three times the prefill that the cached
+// prefix saves, then takes any target.
 #[test]
 fn wait_for_the_target_with_the_prefix_is_bounded() {
     let mut harness = harness(&[2, 2]);
@@ -138,7 +140,8 @@
     assert_eq!(harness.grants(), granted("second", "t1"));
 }
 
-// Memory grows with each prompt ever seen: beliefs are bounded, the least recently used go.
+// Guards against memory that grows with each prompt ever seen: the least recently used blocks are
+// dropped.
 #[test]
 fn cached_blocks_are_bounded() {
     let harness = harness(&[8]);
--- a/crates/lilaccrank/tests/suite/dispatch_faults.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_faults.rs
@@ -1,4 +1,4 @@
-//! Failures at the dispatcher, one named case each: void asks, silence, handover.
+//! Failures at the dispatcher: superseded asks, lost messages, hung and slow targets, handover.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 };
 use crate::dispatch_harness::{Harness, LOWEST_TIER};
 
-// Two requests meet one slot. An entry asks again after it lost the answer; were both asks alive,
-// the request would hold two slots, and a late grant of the first could send it twice.
+// Guards against a request that holds two slots or is sent twice: an entry that lost the answer asks
+// again with a new number, and a grant for the first ask comes late.
 #[test]
 fn a_later_ask_voids_the_earlier() {
     let mut harness = harness(&[1]);
@@ -36,14 +36,14 @@
     assert_eq!(
         harness.dispatcher.status().running,
         1,
-        "a report of ask 1 is void"
+        "a report for ask 1 is ignored"
     );
     harness.ask(ask("again", 0));
     assert_eq!(harness.refusals(), refused("again", ErrorKind::Cancelled));
 }
 
-// A lost answer makes the entry call again with the same number. It must get the same grant: a
-// second one would take another slot, which nobody frees.
+// Guards against a slot that is never released: an entry that lost the answer repeats its call with
+// the same number. A second grant would take another slot.
 #[test]
 fn a_repeated_call_gets_the_same_grant() {
     let mut harness = harness(&[1]);
@@ -55,8 +55,8 @@
     assert_eq!(harness.dispatcher.status().running, 1);
 }
 
-// A request waits for ever. Its entry lost the answer and calls again with the same number; then
-// the first call ends. The end of the first must not take back what the second waits for.
+// Guards against a request that waits forever: its entry lost the answer and repeats the call with
+// the same number, then the first call is dropped, which must not cancel the ask of the second.
 #[test]
 fn dropping_a_replaced_call_keeps_its_ask() {
     let mut harness = harness(&[1]);
@@ -71,8 +71,8 @@
     assert!(matches!(second.now_or_never(), Some(Verdict::Grant(_))));
 }
 
-// Slots are taken by nobody. A caller goes away and its call ends, while it waits or just as the
-// grant comes. Its ask has to go with it.
+// Guards against slots held for callers that have disconnected. The call is dropped while the ask
+// waits, or just as it is granted.
 #[test]
 fn dropping_a_call_cancels_its_ask() {
     let mut harness = harness(&[1]);
@@ -89,7 +89,8 @@
     assert_eq!(harness.dispatcher.status().running, 0);
 }
 
-// A slot stays taken for good. The grant's answer is lost and the entry never calls again.
+// Guards against a slot that is never released: the grant is lost on its way and the entry does not
+// repeat the call.
 #[test]
 fn unconfirmed_grant_expires() {
     let mut harness = harness(&[1]);
@@ -98,8 +99,8 @@
     assert_eq!(harness.dispatcher.status().running, 0);
 }
 
-// An operator drains a target, and callers are cut when it goes. After the call of
-// `set_targets` it gets nothing more, also when all else is full.
+// Guards against requests that break off when a drained target is removed. After `set_targets` it
+// gets no new requests, even if all other targets are full.
 #[test]
 fn a_draining_target_gets_nothing() {
     let mut harness = harness(&[1, 8]);
@@ -121,9 +122,9 @@
     );
 }
 
-// Callers time out one after the other on an engine that takes requests and says nothing. Its
-// silence is longer than anything expected, so it gets nothing, then one cheap bulk request as a
-// trial, and work again once it answers.
+// Guards against requests that time out one after the other on an engine that accepts them and never
+// answers. After a silence longer than any expected step it gets no requests, then one cheap bulk
+// request as a trial, and all kinds again once it answers.
 #[test]
 fn a_hung_target_is_found_and_tried_again() {
     let mut harness = harness(&[8, 1]);
@@ -137,16 +138,24 @@
     assert_eq!(harness.grants(), granted("urgent", "t1"));
     harness.ask(ask("waits", 0));
     harness.ask(ask_with_long_prompt("survey", 3));
-    assert_eq!(harness.grants(), [], "nothing urgent or long on a trial");
+    assert_eq!(
+        harness.grants(),
+        [],
+        "a trial takes no urgent request and no long prompt"
+    );
     harness.ask(ask("cheap", 3));
     assert_eq!(harness.grants(), granted("cheap", "t0"));
     harness.report("silent", "t0", FIRST_TOKEN);
     assert_eq!(health(&harness), State::Well);
-    assert_eq!(harness.grants().len(), 2, "both that waited");
+    assert_eq!(
+        harness.grants().len(),
+        2,
+        "both waiting requests are granted"
+    );
 }
 
-// After a hang the target answers nothing to its trial either. Without the longer wait each
-// trial would cost another caller its time, once a second.
+// Guards against trials at a target that stays hung: without a growing pause, one request a second
+// would be lost.
 #[test]
 fn trial_is_one_cheap_request() {
     let mut harness = harness(&[8]);
@@ -160,15 +169,19 @@
     assert_eq!(harness.grants(), granted("trial0", "t0"));
     harness.report("trial0", "t0", ReportKind::Began);
     harness.advance(Duration::from_millis(3500));
-    assert_eq!(harness.grants(), [], "hung again, and waits longer");
+    assert_eq!(
+        harness.grants(),
+        [],
+        "hung again, the next trial comes later"
+    );
     harness.advance(Duration::from_secs(2));
     assert_eq!(harness.grants(), granted("trial1", "t0"));
     harness.report("trial1", "t0", FIRST_TOKEN);
     assert_eq!(harness.grants(), granted("trial2", "t0"));
 }
 
-// Answers crawl. An engine slows tenfold, and its report says nothing of it. Its own steps do:
-// it keeps one request, by which it can show that it is well again.
+// Guards against slow answers from an engine that became ten times slower without reporting it. The
+// length of its steps shows it; one slot stays in use to detect the recovery.
 #[test]
 fn a_slowed_target_gets_less() {
     let mut harness = harness(&[8]);
@@ -182,9 +195,9 @@
     assert_eq!(slots(&harness), 8);
 }
 
-// Bulk is granted while a breakdown call waits. A new dispatcher heard of one entry only; the
-// other one holds the call. It grants nothing before both have told, and sheds only the lowest
-// tier meanwhile.
+// Guards against bulk granted ahead of urgent requests after a handover: the new dispatcher has the
+// resync of one entry only, and the other entry holds the urgent request. Until both have resynced it
+// grants nothing and sheds only from the lowest tier.
 #[test]
 fn a_new_dispatcher_waits_for_the_entries() {
     let mut harness = Harness::new(&[1], 2, SILENCE_FLOOR);
@@ -218,8 +231,9 @@
     assert_eq!(harness.grants(), granted("call", "t0"));
 }
 
-// Memory runs out in a handover during a burst, or an urgent ask is refused while bulk is kept.
-// Past twice its limit the queue sheds from its lowest tier, whichever that is.
+// Guards against running out of memory during a burst in a handover, and against refusing an urgent
+// request while bulk is kept. Above twice its limit the queue sheds from its lowest tier, whichever
+// that is.
 #[test]
 fn queue_in_a_handover_is_capped_at_twice_its_limit() {
     let mut harness = Harness::new(&[1], 1, SILENCE_FLOOR);
@@ -231,7 +245,7 @@
     assert_eq!(harness.refusals(), refused("bulk", ErrorKind::Overloaded));
 }
 
-// A silent entry would hold up all others: the grace ends the wait.
+// Guards against an entry that never resyncs and blocks all others: the grace period ends the wait.
 #[test]
 fn handover_ends_after_its_grace_period() {
     let mut harness = harness(&[1]);
@@ -245,8 +259,8 @@
     assert_eq!(harness.grants(), granted("r", "t0"));
 }
 
-// A request runs twice. It was dispatched by the grant of an old dispatcher, and the new one has
-// its ask in the queue. Once told that it runs, it counts as running and isn't granted again.
+// Guards against running a request twice: it was granted by the previous dispatcher, and its ask is in
+// the queue of the new one. Once resynced as running, it is not granted again.
 #[test]
 fn what_runs_is_not_granted_again() {
     let mut harness = harness(&[1]);
@@ -271,7 +285,7 @@
     assert_eq!(harness.grants(), granted("other", "t0"));
 }
 
-// Targets look full and are idle. An entry died with requests waiting and running.
+// Guards against idle targets that look full, after an entry died with requests waiting and running.
 #[test]
 fn forgotten_entry_releases_its_requests() {
     let mut harness = harness(&[1]);
--- a/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
@@ -1,4 +1,4 @@
-//! What the named cases of the dispatcher share.
+//! Asks, digests and expected results that the tests of the dispatcher share.
 
 use std::time::Duration;
 
@@ -10,25 +10,32 @@
 
 use crate::dispatch_harness::{self, Harness};
 
+/// Limit of one concurrent request over all customers.
 pub const CONCURRENCY_LIMIT: Limit = Limit {
     concurrency: Some(1),
     per_customer: false,
     rate_per_s: None,
 };
+/// Shortest silence after which a target counts as hung.
 pub const SILENCE_FLOOR: Duration = Duration::from_secs(2);
+/// Report of a first token after 250 ms.
 pub const FIRST_TOKEN: ReportKind = ReportKind::FirstToken {
     after: Duration::from_millis(250),
 };
+/// Queue limit that no test with [`harness`] reaches.
 pub const WAITING_LIMIT: usize = 1000;
 
+/// Returns a harness with one target for each slot count.
 pub fn harness(slots: &[u32]) -> Harness {
     Harness::new(slots, WAITING_LIMIT, SILENCE_FLOOR)
 }
 
+/// Returns an ask with a short prompt.
 pub fn ask(request: &str, tier: u8) -> Ask {
     dispatch_harness::ask(request, tier)
 }
 
+/// Returns an ask with a prompt of 10 000 tokens.
 pub fn ask_with_long_prompt(request: &str, tier: u8) -> Ask {
     let prompt_tokens = 10_000;
     Ask {
@@ -37,11 +44,13 @@
     }
 }
 
+/// Sets the deadline of an ask, in seconds from now.
 pub fn with_deadline(secs: u64, ask: Ask) -> Ask {
     let deadline = Some(Duration::from_secs(secs));
     Ask { deadline, ..ask }
 }
 
+/// Returns an ask of the most urgent tier that counts against a limit.
 pub fn ask_with_limit(request: &str, limit: Limit) -> Ask {
     let limit = Some(limit);
     Ask {
@@ -50,6 +59,7 @@
     }
 }
 
+/// Returns the first incarnation of the entry daemon on a VM.
 pub fn entry(vm: &str) -> Entry {
     Entry {
         incarnation: 1,
@@ -57,25 +67,29 @@
     }
 }
 
+/// Returns the number of queued requests over all tiers.
 pub fn waiting(harness: &Harness) -> usize {
     let status = harness.dispatcher.status();
     status.waiting.iter().map(|tier| tier.waiting).sum()
 }
 
+/// Expected [`Harness::refusals`] with one refusal.
 pub fn refused(request: &str, kind: ErrorKind) -> Vec<(String, ErrorKind)> {
     vec![(request.to_owned(), kind)]
 }
 
+/// Expected [`Harness::grants`] with one grant.
 pub fn granted(request: &str, target: &str) -> Vec<(String, String)> {
     vec![(request.to_owned(), target.to_owned())]
 }
 
-/// What stands for a target in a digest.
+/// Returns the key of a target in digests.
 pub fn target_digest(target: &str) -> LifeDigest {
     TargetLife::from(target).digest()
 }
 
-/// A digest of a peer that has `running` short requests on a target.
+/// Returns a digest of a peer that runs `running` requests on a target, with `prefill` prompt tokens
+/// left to process.
 pub fn digest(target: &str, running: u32, prefill: u64) -> Digest {
     Digest {
         loads: vec![TargetLoad {
@@ -88,7 +102,7 @@
     }
 }
 
-/// A digest of a peer that has nothing on any target.
+/// Returns a full digest of a peer that runs no request.
 pub fn empty_digest() -> Digest {
     Digest {
         whole: true,
@@ -96,11 +110,12 @@
     }
 }
 
+/// Passes a peer's digest to the dispatcher.
 pub fn deliver_digest(harness: &Harness, from: &str, digest: Digest) {
     harness.dispatcher.take_digest(&from.to_owned(), digest);
 }
 
-/// An ask whose caller expects a first token.
+/// Returns an ask with a first-token objective of 1 s and a deadline of 10 s.
 pub fn ask_with_objective(request: &str, tier: u8) -> Ask {
     Ask {
         deadline: Some(Duration::from_secs(10)),
--- a/crates/lilaccrank/tests/suite/dispatch_harness.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_harness.rs
@@ -1,4 +1,4 @@
-//! A dispatcher on a paused clock, and the verdicts in the order in which they come.
+//! Runs one dispatcher on a paused clock and collects its verdicts in the order they arrive.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,13 +14,20 @@
 use lilaccrank::paused_clock::PausedClock;
 use lilaccrank::target_life::TargetLife;
 
+/// Data centre of the dispatcher and of its targets.
 pub const DATA_CENTRE: &str = "portmore";
+/// Least urgent tier; 0 is the most urgent one.
 pub const LOWEST_TIER: u8 = 3;
+/// Step in which [`Harness::advance`] moves the clock, so that timers fire close to their time.
 const CLOCK_STEP: Duration = Duration::from_millis(50);
 
+/// A running dispatcher, the calls made to it and their verdicts.
 pub struct Harness {
+    /// Clock of the dispatcher.
     pub clock: PausedClock,
+    /// Dispatcher under test.
     pub dispatcher: Dispatcher<PausedClock>,
+    /// Pool document with the dispatcher's targets.
     pub pool: Pool,
     executor: LocalPool,
     spawner: LocalSpawner,
@@ -28,12 +35,12 @@
 }
 
 impl Harness {
-    /// A dispatcher of targets `t0`, `t1` and so on with these slots.
+    /// Creates a dispatcher on VM `vm1` with targets `t0`, `t1` and so on, one for each slot count.
     pub fn new(slots: &[u32], waiting_limit: usize, silence_floor: Duration) -> Self {
         Self::for_vm("vm1", slots, waiting_limit, silence_floor)
     }
 
-    /// The same on a vm of another name.
+    /// Like [`Self::new`], but on the given VM.
     pub fn for_vm(vm: &str, slots: &[u32], waiting_limit: usize, silence_floor: Duration) -> Self {
         let clock = PausedClock::new();
         let cfg = Config {
@@ -72,7 +79,7 @@
         harness
     }
 
-    /// Starts a call that ends when the handle is dropped.
+    /// Starts a call that is cancelled when the handle is dropped.
     pub fn call(&mut self, ask: Ask) -> RemoteHandle<()> {
         let dispatcher = self.dispatcher.clone();
         let verdicts = Rc::clone(&self.verdicts);
@@ -85,12 +92,12 @@
         handle
     }
 
-    /// Starts a call that lasts until its verdict.
+    /// Starts a call that runs until its verdict.
     pub fn ask(&mut self, ask: Ask) {
         self.call(ask).forget();
     }
 
-    /// Lets time pass, with all that is due meanwhile.
+    /// Advances the clock and runs the timers that fire meanwhile.
     pub fn advance(&mut self, duration: Duration) {
         let until = self.clock.elapsed() + duration;
         while self.clock.elapsed() < until {
@@ -100,13 +107,13 @@
         }
     }
 
-    /// The verdicts since the last look.
+    /// Returns and clears the verdicts collected so far.
     pub fn verdicts(&mut self) -> Vec<Verdict> {
         self.executor.run_until_stalled();
         self.verdicts.take()
     }
 
-    /// Request and target of each grant since the last look.
+    /// Returns request and target of each collected grant; clears all verdicts.
     pub fn grants(&mut self) -> Vec<(String, String)> {
         let verdicts = self.verdicts().into_iter();
         let grants = verdicts.filter_map(|verdict| match verdict {
@@ -116,7 +123,7 @@
         grants.collect()
     }
 
-    /// Request and reason of each refusal since the last look.
+    /// Returns request and reason of each collected refusal; clears all verdicts.
     pub fn refusals(&mut self) -> Vec<(String, ErrorKind)> {
         let verdicts = self.verdicts().into_iter();
         let refusals = verdicts.filter_map(|verdict| match verdict {
@@ -126,6 +133,7 @@
         refusals.collect()
     }
 
+    /// Reports an event at a target for the first ask of a request.
     pub fn report(&mut self, request: &str, target: &str, kind: ReportKind) {
         self.dispatcher.report(&Report {
             ask: 1,
@@ -135,7 +143,7 @@
         });
     }
 
-    /// Ends a request with a whole answer.
+    /// Reports that a request ended with a complete answer.
     pub fn end(&mut self, request: &str, target: &str) {
         let kind = ReportKind::Ended {
             decoded: 50,
@@ -145,7 +153,7 @@
         self.report(request, target, kind);
     }
 
-    /// Reports steps of this length.
+    /// Reports `times` decode steps of `step_ms` milliseconds each.
     pub fn report_steps(&mut self, request: &str, target: &str, step_ms: u64, times: u32) {
         for _ in 0..times {
             let step = Duration::from_millis(step_ms);
@@ -153,14 +161,14 @@
         }
     }
 
-    /// Sets a target's state.
+    /// Changes the state of a target in the pool document.
     pub fn set_state(&mut self, target: usize, state: TargetState) {
         self.pool.targets[target].state = state;
         self.dispatcher.set_targets(&self.pool, DATA_CENTRE);
     }
 }
 
-/// A short ask of its own customer.
+/// Returns an ask for a request with a short prompt.
 pub fn ask(request: &str, tier: u8) -> Ask {
     Ask {
         ask: 1,
--- a/crates/lilaccrank/tests/suite/dispatch_inputs.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_inputs.rs
@@ -1,4 +1,4 @@
-//! Numbers that no sound daemon, target or caller would send.
+//! Fuzzes the dispatcher with values that no correct daemon, target or caller sends.
 
 use std::time::Duration;
 
@@ -10,18 +10,19 @@
 use crate::dispatch_fixtures::{ask, harness};
 use crate::seeded;
 
-/// A number that is mostly at an end of its range.
+/// Generates a number that is mostly at an end of its range.
 fn boundary_value(g: &mut Gen) -> u64 {
     let typical = u64::arbitrary(g) % 1_000;
     *g.choose(&[0, 1, typical, u64::from(u32::MAX), u64::MAX - 1, u64::MAX])
         .unwrap_or(&0)
 }
 
+/// Generates a duration in milliseconds, mostly at an end of its range.
 fn boundary_duration(g: &mut Gen) -> Duration {
     Duration::from_millis(boundary_value(g))
 }
 
-/// A digest of another daemon.
+/// A digest of a peer with arbitrary values.
 #[derive(Clone, Debug)]
 struct ArbitraryDigest(Digest);
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// An ask of a caller that lies about its lengths and times.
+/// An ask with arbitrary lengths and times.
 #[derive(Clone, Debug)]
 struct ArbitraryAsk(Ask);
 
@@ -73,8 +74,8 @@
     }
 }
 
-// A daemon of another version, or a faulty one, tells nonsense of a target. Nobody's numbers may stop
-// another daemon, and after the faulty one has gone the target gets work again.
+// Guards against a daemon of another version, or a faulty one, that stops its peers with invalid
+// digests. Once it is gone, the target gets requests again.
 #[test]
 fn invalid_digests_of_a_peer_are_tolerated() {
     fn holds(digests: Vec<ArbitraryDigest>, arbitrary_ask: ArbitraryAsk) -> bool {
@@ -92,7 +93,7 @@
     seeded::check(300, holds as fn(Vec<ArbitraryDigest>, ArbitraryAsk) -> bool);
 }
 
-// A target reports numbers that cannot be, and its answer has more tokens than were asked for.
+// Guards against a panic on impossible load reports, and on an answer longer than requested.
 #[test]
 fn invalid_reports_of_a_target_are_tolerated() {
     fn holds(running: u32, waiting: u32, tokens: u32, step: u64) -> bool {
--- a/crates/lilaccrank/tests/suite/dispatch_locality.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_locality.rs
@@ -1,9 +1,10 @@
-//! Targets of several data centres: work goes to those nearby as long as that costs its callers nothing.
+//! Targets in several data centres: local ones are preferred unless that delays the request.
 
 use crate::dispatch_fixtures::{ask, ask_with_long_prompt, granted, harness};
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
 
-/// Targets with these slots, of which `near` are in the daemon's data centre.
+/// Returns a harness with one target for each slot count; those with an index in `local` are in the
+/// daemon's data centre.
 fn harness_with_local_targets(slots: &[u32], local: &[usize]) -> Harness {
     let mut harness = harness(slots);
     for (index, target) in harness.pool.targets.iter_mut().enumerate() {
@@ -17,8 +18,8 @@
     harness
 }
 
-// Every request and answer crosses the lines between data centres, which are paid by the byte, though
-// targets nearby are as idle: all were taken in turn.
+// Guards against round robin over all data centres while local targets are idle: traffic between data
+// centres is paid by the byte.
 #[test]
 fn idle_local_target_is_preferred() {
     let mut harness = harness_with_local_targets(&[8, 8, 8, 8], &[2]);
@@ -30,7 +31,7 @@
     }
 }
 
-// The target nearby reads long prompts: who goes there waits for them. A far one answers sooner.
+// Guards against waiting behind a long prefill at a local target when a remote one answers sooner.
 #[test]
 fn remote_target_is_chosen_if_it_answers_sooner() {
     let mut harness = harness_with_local_targets(&[8, 8], &[1]);
@@ -40,7 +41,7 @@
     assert_eq!(harness.grants(), granted("short", "t0"));
 }
 
-// Nobody nearby has room: the caller waits for nothing.
+// Guards against waiting for a slot at a local target when a remote one has a free slot.
 #[test]
 fn remote_target_is_chosen_if_local_ones_are_full() {
     let mut harness = harness_with_local_targets(&[8, 1], &[1]);
@@ -50,7 +51,7 @@
     assert_eq!(harness.grants(), granted("b", "t0"));
 }
 
-// All data centres are one: as before, targets are taken in turn.
+// Guards against a change of order where all targets are local: idle ones are chosen in turn.
 #[test]
 fn local_targets_are_chosen_in_turn() {
     let mut harness = harness_with_local_targets(&[8, 8], &[0, 1]);
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -1,4 +1,5 @@
-//! The dispatcher against a naive version: a list that is sorted and rescanned at each step.
+//! Compares order and shedding of the dispatcher with a reference model: a list that is sorted and
+//! rescanned at each step.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,18 +13,20 @@
 
 use crate::dispatch_harness::{self, Harness};
 
-/// The part of resumed answers that their callers have.
+/// Partial answer that resumed requests start with.
 const PARTIAL: PartialAnswer = PartialAnswer {
     remaining: None,
     tokens: 40,
 };
+/// Prompt length from which a request counts as long.
 const LONG_PROMPT_TOKENS: u32 = 3000;
-/// No target counts as hung here; the naive version knows nothing of that.
+/// Longer than any run, because the reference model does not detect hung targets.
 const SILENCE_FLOOR: Duration = Duration::from_secs(3600);
-/// Fixed, so that the verdict is the same each time.
+/// Fixed, so that each run generates the same operations.
 const SEED: u64 = 4;
 const WAITING_LIMIT: usize = 8;
 
+/// One operation on the dispatcher and the reference model.
 #[derive(Clone, Debug)]
 enum Op {
     Advance {
@@ -83,7 +86,7 @@
     }
 }
 
-/// A waiting ask and the place where it came in.
+/// A queued ask and its position in the order of arrival.
 #[derive(Clone, Debug)]
 struct Waiting {
     ask: Ask,
@@ -91,6 +94,7 @@
 }
 
 impl Waiting {
+    /// Returns the tokens charged to the customer: prompt, partial answer and what is left of the limit.
     fn tokens(&self) -> u64 {
         let partial = self.ask.partial.map_or(0, |partial| partial.tokens);
         let left = self.ask.max_tokens.saturating_sub(partial);
@@ -101,7 +105,7 @@
         self.ask.prompt_tokens == LONG_PROMPT_TOKENS
     }
 
-    /// Asks that wait for different room don't wait for each other.
+    /// Returns the lane: requests with different needs of targets do not block each other.
     fn lane(&self) -> (bool, bool, bool) {
         let partial = self.ask.partial.is_some();
         let excluding = !partial && !self.ask.exclusions.is_empty();
@@ -109,6 +113,7 @@
     }
 }
 
+/// A granted request.
 #[derive(Debug)]
 struct Running {
     ask: Ask,
@@ -117,12 +122,13 @@
 }
 
 impl Running {
-    /// Tokens that its target reads.
+    /// Returns the tokens that its target has to prefill.
     fn prompt(&self) -> u32 {
         self.ask.prompt_tokens + self.ask.partial.map_or(0, |partial| partial.tokens)
     }
 }
 
+/// Queue and grants as the dispatcher should have them.
 #[derive(Debug, Default)]
 struct ReferenceModel {
     running: Vec<Running>,
@@ -168,7 +174,7 @@
         self.customer_virtual_time[&(waiting.ask.tier, waiting.ask.customer.clone())]
     }
 
-    /// All that waits, in the order of dispatch.
+    /// Returns all queued requests in dispatch order.
     fn sorted(&self) -> Vec<&Waiting> {
         let mut sorted: Vec<&Waiting> = self.waiting.iter().collect();
         sorted.sort_by_key(|w| {
@@ -182,6 +188,7 @@
         sorted
     }
 
+    /// Returns the targets that may take a request now.
     fn eligible(&self, waiting: &Waiting, targets: &[TargetStatus]) -> BTreeSet<String> {
         let running_on = |id: &str| {
             let id = id.to_owned();
@@ -212,8 +219,8 @@
         eligible.map(|t| t.id.clone()).collect()
     }
 
-    /// The first in order that finds an open target. A customer's asks of one lane wait for each
-    /// other.
+    /// Returns the first request in dispatch order that has an eligible target. Within a lane, a
+    /// customer's requests are dispatched in order.
     fn next(&self, targets: &[TargetStatus]) -> Option<(String, BTreeSet<String>)> {
         let mut blocked = BTreeSet::new();
         for waiting in self.sorted() {
@@ -255,7 +262,8 @@
         });
     }
 
-    /// The newest ask of the customer with most waiting, in the lowest tier.
+    /// Returns the request to shed: in the lowest tier, the newest one of the customer with the largest
+    /// backlog by weight.
     fn victim(&self) -> String {
         let tier = self.waiting.iter().map(|w| w.ask.tier).max().unwrap();
         let candidates: Vec<&Waiting> =
@@ -278,7 +286,7 @@
     }
 }
 
-/// Applies one operation to both and compares what follows.
+/// Applies one operation to the dispatcher and the model and compares the results.
 fn apply(
     harness: &mut Harness,
     model: &mut ReferenceModel,
@@ -355,7 +363,7 @@
     check(harness, model)
 }
 
-/// Checks the verdicts of one step, and takes them over.
+/// Compares the verdicts of one step with the model and updates the model.
 fn check(harness: &mut Harness, model: &mut ReferenceModel) -> Result<(), String> {
     let mut granted = BTreeMap::new();
     let mut shed = Vec::new();
@@ -382,7 +390,9 @@
             .remove(&request)
             .ok_or(format!("{request} not granted"))?;
         if !eligible.contains(&target) {
-            return Err(format!("{request} went to {target}, open are {eligible:?}"));
+            return Err(format!(
+                "{request} granted to {target}, eligible are {eligible:?}"
+            ));
         }
         model.grant(&request, &target);
         harness.report(&request, &target, ReportKind::Began);
@@ -402,10 +412,11 @@
     }
     match shed.is_empty() {
         true => Ok(()),
-        false => Err(format!("shed in vain: {shed:?}")),
+        false => Err(format!("shed without need: {shed:?}")),
     }
 }
 
+/// Runs the operations on both and returns the first difference.
 fn matches_reference_model(ops: Vec<Op>) -> Result<(), String> {
     let mut harness = Harness::new(&[1, 3, 8], WAITING_LIMIT, SILENCE_FLOOR);
     let mut model = ReferenceModel::default();
@@ -414,13 +425,13 @@
         let status = harness.dispatcher.status();
         let waiting: usize = status.waiting.iter().map(|tier| tier.waiting).sum();
         if waiting != model.waiting.len() || status.running != model.running.len() {
-            return Err(format!("lost: {status:?} but {model:?}"));
+            return Err(format!("counts differ: {status:?} but {model:?}"));
         }
     }
     finish(&mut harness, &mut model)
 }
 
-/// Ends all that runs until nothing is left: each ask has its verdict.
+/// Ends all running requests until the queue is empty, so that every ask has got its verdict.
 fn finish(harness: &mut Harness, model: &mut ReferenceModel) -> Result<(), String> {
     for target in 0..harness.pool.targets.len() {
         apply(harness, model, &Op::Return { target }, 0)?;
--- a/crates/lilaccrank/tests/suite/dispatch_overload.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_overload.rs
@@ -1,4 +1,4 @@
-//! Overload at the dispatcher: shedding, fairness, deadlines, limits, Retry-After.
+//! Overload at the dispatcher: shedding, fairness, deadlines, limits and `Retry-After`.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 };
 use crate::dispatch_harness::Harness;
 
-/// A full queue of `low` and a new ask of `new`: whose request is refused.
+/// Fills the queue with asks of tier `low`, adds one of tier `new` and checks which is refused.
 macro_rules! full_queue {
     ($name:ident, $low:literal, $new:literal, $refused:literal) => {
         #[test]
@@ -33,9 +33,8 @@
 full_queue!(new_bulk_is_shed_before_waiting_urgent_asks, 0, 3, "new");
 full_queue!(newest_ask_of_one_customer_is_shed, 2, 2, "new");
 
-// A caller sees its small customer's request refused at the top of the hour. A large customer
-// fills the queue, then a small one asks. Were the newest shed, the large one's burst would cost
-// the small one its place.
+// Guards against shedding the newest request of the queue: after a burst of a large customer has
+// filled it, a small customer's request would be refused.
 #[test]
 fn burst_sheds_only_its_own_customer() {
     let mut harness = Harness::new(&[1], 10, SILENCE_FLOOR);
@@ -54,9 +53,9 @@
     );
 }
 
-// A small customer waits for ever. A large one has a long backlog of surveys in the same tier,
-// the small one sends pings. Counted in requests, each ping would wait for a survey of a hundred
-// times its length; counted in tokens, all pings pass for one survey.
+// Guards against sharing by request count: each short request of one customer would wait for a
+// request of another that is a hundred times as long. Counted in tokens, all the short ones pass
+// after one long request.
 #[test]
 fn customers_share_by_tokens() {
     let mut harness = harness(&[1]);
@@ -84,8 +83,8 @@
     assert_eq!(positions, [0, 21, 22, 23, 24]);
 }
 
-// A breakdown call waits for bulk to end. Bulk has filled every slot before the call comes.
-// Engines can't be interrupted, so a part of the slots is kept from bulk.
+// Guards against bulk that holds every slot when an urgent request arrives. Engines don't preempt,
+// so some slots are reserved.
 #[test]
 fn slots_are_reserved_for_urgent_work() {
     let mut harness = harness(&[8, 8]);
@@ -97,8 +96,8 @@
     assert_eq!(harness.grants().len(), 1);
 }
 
-// A ping waits for seconds although slots are free. Surveys are being read on every target, and
-// reading can't be interrupted. So some targets are kept free of long prompts.
+// Guards against short requests that wait for seconds although slots are free, because every target
+// prefills a long prompt. Prefill can't be interrupted, so some targets take no long prompts.
 #[test]
 fn targets_are_kept_free_of_long_prompts() {
     let mut harness = harness(&[8, 8, 8, 8]);
@@ -116,8 +115,8 @@
     assert_eq!(harness.grants(), granted("ping", "t3"));
 }
 
-// Prefill is spent in vain. A deadline that could be met at first has come too near in the queue;
-// the request is refused at its turn.
+// Guards against prefill for a request whose deadline became unmeetable while it was queued: it is
+// refused at its turn.
 #[test]
 fn deadline_is_checked_again_at_the_grant() {
     let mut harness = harness(&[1]);
@@ -132,8 +131,8 @@
     );
 }
 
-// A ping waits behind a survey that is being read, while another engine only generates. What we
-// have just sent counts at once, not when the engine reports it.
+// Guards against short requests queued behind a long prefill while another engine is free. The
+// dispatcher's own grants count at once, not only when the engine reports them.
 #[test]
 fn own_grants_count_before_the_target_reports_them() {
     let mut harness = harness(&[8, 8]);
@@ -149,7 +148,8 @@
     }
 }
 
-// A rule that lets nothing wait refuses all, also while targets idle. What can go at once goes.
+// Guards against a rule with no waiting time that refuses everything, even while targets are idle.
+// Requests that can be dispatched at once are granted.
 #[test]
 fn zero_wait_allows_immediate_dispatch() {
     let mut harness = harness(&[1]);
@@ -166,9 +166,8 @@
     assert_eq!(harness.refusals(), refused("late", kind));
 }
 
-// Prefill is spent on an answer that nobody can get in time. The deadline is shorter than the
-// reading of the prompt, or than the work ahead; lower-tier work ahead doesn't count, since it
-// would be passed.
+// Guards against prefill for an answer that can't be in time: the deadline is shorter than the
+// prefill or than the work ahead. Work of lower tiers doesn't count, since the request goes first.
 #[test]
 fn unmeetable_deadline_is_refused_on_arrival() {
     let mut harness = harness(&[1]);
@@ -188,7 +187,7 @@
     assert_eq!(
         harness.grants(),
         granted("counts", "t0"),
-        "the first took no place"
+        "the refused request did not count"
     );
     harness.end("counts", "t0");
     harness.ask(ask("runs", 0));
@@ -205,11 +204,11 @@
     assert_eq!(
         harness.refusals(),
         refused("higher", kind),
-        "its time is up"
+        "its deadline has passed"
     );
 }
 
-/// Which of three asks under a limit is refused.
+/// Checks which of three asks under a limit are refused, one for each customer in the list.
 macro_rules! limit {
     ($name:ident, $limit:expr, $customers:expr, $refused:expr) => {
         #[test]
@@ -230,10 +229,12 @@
     };
 }
 
+/// Limit of one concurrent request for each customer.
 const CUSTOMER_CONCURRENCY_LIMIT: Limit = Limit {
     per_customer: true,
     ..CONCURRENCY_LIMIT
 };
+/// Limit of one request a second over all customers.
 const RATE_LIMIT: Limit = Limit {
     concurrency: None,
     per_customer: false,
@@ -254,8 +255,8 @@
 );
 limit!(rate_is_limited, RATE_LIMIT, ["a", "b", "a"], ["r1", "r2"]);
 
-// A limit fills up for good, and every caller is refused. A place is given back however its
-// request ends.
+// Guards against a concurrency limit that is never released and then refuses every request. It is
+// released whatever the outcome.
 #[test]
 fn limit_is_released_on_every_outcome() {
     let mut harness = harness(&[1]);
@@ -273,8 +274,8 @@
     }
 }
 
-// Callers return long before or after their turn. The pool has ended a thousand tokens a second,
-// so those behind ten thousand should come back in ten seconds and up to as long again.
+// Guards against callers that retry long before or after their turn. At a drain rate of 1000 tokens
+// a second, a caller behind 10 000 tokens should retry after 10 s, or up to twice that.
 #[test]
 fn retry_after_follows_the_drain_rate() {
     let start = Instant::now();
@@ -288,8 +289,8 @@
     assert!((8.0..22.0).contains(&retry), "{retry}");
 }
 
-// Refused callers come back as one burst and are refused again. Their `Retry-After` is spread
-// over as long as the pool needs.
+// Guards against refused callers that all retry at once and are refused again. Their `Retry-After`
+// is spread over the time that the pool needs.
 #[test]
 fn retry_after_is_spread_out() {
     let mut harness = Harness::new(&[1], 1, SILENCE_FLOOR);
--- a/crates/lilaccrank/tests/suite/dispatch_reservation.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_reservation.rs
@@ -1,10 +1,11 @@
-//! Slots reserved for the tiers before a request's own.
+//! Slots that a request leaves free for the tiers before its own.
 
 use std::time::Duration;
 
 use lilaccrank::dispatch::reservation::Reservation;
 
-/// Reserved slots of a target, for a hold in milliseconds before tiers with these objectives.
+/// Checks how many of a target's slots a request leaves free, if it holds one for so many milliseconds
+/// and the tiers before its own have these first-token objectives.
 macro_rules! reserved {
     ($name:ident, $objectives_ms:expr, by_hold: $by_hold:literal, $hold_ms:literal of $slots:literal, $reserved:literal) => {
         #[test]
--- a/crates/lilaccrank/tests/suite/dispatch_restarts.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under the names that they had.
+//! Targets that restart under the same id.
 
 use std::time::Duration;
 
@@ -10,16 +10,17 @@
 use crate::dispatch_fixtures::{ask, granted, harness};
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
 
+/// Start time of the restarted target, in milliseconds.
 const START_TIME_MS: u64 = 1_790_000_000_000;
 
-/// The only target starts again.
+/// Restarts the only target.
 fn restart_target(harness: &mut Harness) {
     harness.pool.targets[0].born += START_TIME_MS;
     harness.dispatcher.set_targets(&harness.pool, DATA_CENTRE);
 }
 
-// An ask waits though its target has just started: a request of the old life, whose connection is
-// silent, still held the only slot.
+// Guards against requests that wait for a slot held by a request from before the restart, whose
+// connection is silent.
 #[test]
 fn restart_frees_the_slots() {
     let mut harness = harness(&[1]);
@@ -29,14 +30,14 @@
     assert_eq!(harness.grants(), []);
     restart_target(&mut harness);
     assert_eq!(harness.grants(), granted("new", "t0"));
-    // The end of the old one is no end of the new one.
+    // The end of the request from before the restart releases no slot of the restarted target.
     harness.end("old", "t0");
     harness.ask(ask("third", 0));
     assert_eq!(harness.grants(), []);
 }
 
-// A daemon sends nothing to a target that has started again, because others tell what they had on the
-// old life: their words name the life, and one of them may have heard of the new one later.
+// Guards against a restarted target that gets no requests because peers, which may learn of the restart
+// later, still report load and failures from before. Digests name the incarnation they refer to.
 #[test]
 fn peer_load_from_before_a_restart_is_ignored() {
     let mut harness = harness(&[1]);
@@ -64,8 +65,8 @@
     assert_eq!(harness.grants(), granted("new", "t0"));
 }
 
-// A target that hung, was slow and had a full cache is started again to cure it: it begins as one that
-// was never seen.
+// Guards against a restarted target that is still treated as hung, slow or with a full cache. After the
+// restart its status equals that of a new target.
 #[test]
 fn restart_resets_all_that_was_learned() {
     let mut harness = harness(&[8]);
@@ -97,8 +98,8 @@
     assert_eq!(*restarted, expected);
 }
 
-// The target has started again, and its late answers, reports and cache events still come from the old
-// life: they say nothing of the new one.
+// Guards against late answers, reports and cache events from before the restart that change the status
+// of the restarted target.
 #[test]
 fn late_reports_from_before_a_restart_are_ignored() {
     let mut harness = harness(&[2]);
--- a/crates/lilaccrank/tests/suite/dispatch_resumed.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_resumed.rs
@@ -1,4 +1,4 @@
-//! Answers that another target is to resume.
+//! Partial answers that are to be resumed on another target.
 
 use std::time::{Duration, Instant};
 
@@ -9,9 +9,10 @@
 use crate::dispatch_fixtures::{ask, granted, harness, refused};
 use crate::dispatch_harness::Harness;
 
+/// First-token objective of the asks.
 const OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// An ask with a time for the first token and one for the whole answer.
+/// Returns an ask with a first-token objective and a deadline of 10 s.
 fn ask_with_objective(request: &str, tier: u8) -> Ask {
     Ask {
         deadline: Some(Duration::from_secs(10)),
@@ -21,7 +22,8 @@
     }
 }
 
-/// An ask to resume behind 400 tokens; where it is, the rest comes in so many seconds.
+/// Returns an ask to resume an answer after 400 tokens. `remaining` is the time in seconds that its
+/// current target would need for the rest.
 fn ask_to_resume(request: &str, tier: u8, remaining: Option<u64>) -> Ask {
     Ask {
         partial: Some(PartialAnswer {
@@ -32,7 +34,7 @@
     }
 }
 
-/// Teaches the dispatcher how long a target's steps take.
+/// Lets the dispatcher measure a target's step time on one request.
 fn teach_step_time(harness: &mut Harness, target: &str, step_ms: u64) {
     let request = format!("seen on {target}");
     let others = ["t0", "t1"].into_iter().filter(|other| *other != target);
@@ -45,7 +47,8 @@
     harness.end(&request, target);
 }
 
-// A broken stream would wait behind new requests of its tier until its caller, with all it has read, gives up.
+// Guards against a broken stream that waits behind new requests of its tier until its caller gives up,
+// although it has part of the answer.
 #[test]
 fn resumed_answer_goes_before_new_asks() {
     let mut harness = harness(&[1]);
@@ -57,7 +60,7 @@
     assert_eq!(harness.grants(), granted("broken", "t0"));
 }
 
-// A resumed answer of a later tier would delay urgent work.
+// Guards against a resumed answer of a later tier that delays urgent requests.
 #[test]
 fn earlier_tier_goes_before_a_resumed_answer() {
     let mut harness = harness(&[1]);
@@ -69,7 +72,7 @@
     assert_eq!(harness.grants(), granted("urgent", "t0"));
 }
 
-// A long answer would move to a target that is no faster, and be read again in vain.
+// Guards against migrating a long answer to a target that is no faster, where the prefill is wasted.
 #[test]
 fn resumed_answer_waits_for_a_faster_target() {
     let mut harness = harness(&[8, 1]);
@@ -87,7 +90,7 @@
     assert_eq!(harness.grants(), granted("long", "t1"));
 }
 
-// A long answer would be refused a migration although a fast target may still come free.
+// Guards against refusing a migration while a faster target may still become free.
 #[test]
 fn resumed_answer_waits_until_its_deadline() {
     let mut harness = harness(&[8, 8]);
@@ -101,7 +104,7 @@
     assert_eq!(harness.refusals(), refused("long", kind));
 }
 
-// A long answer on a slow target would be noticed only at its deadline.
+// Guards against detecting a long answer on a slow target only at its deadline.
 #[test]
 fn an_overrun_is_projected() {
     let start = Instant::now();
@@ -116,7 +119,7 @@
     assert_eq!(projected_overrun(9), None);
 }
 
-// An answer without a first token, or without a deadline, would be moved for nothing.
+// Guards against migrating an answer that has no first token yet, or no deadline.
 #[test]
 fn no_overrun_without_first_token_or_deadline() {
     let now = Instant::now();
--- a/crates/lilaccrank/tests/suite/dispatch_sharing.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_sharing.rs
@@ -1,4 +1,4 @@
-//! Daemons that dispatch for themselves and tell each other what they have on the targets.
+//! Daemons that dispatch to the same targets and exchange digests of their load there.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     target_digest,
 };
 
-// Two daemons send to one engine at the same time, which lets them wait for each other there. What
-// another daemon has on a target counts like what this one has.
+// Guards against two daemons that send to the same engine at once, whose requests then wait there. The
+// load of peers on a target counts like the daemon's own.
 #[test]
 fn peer_load_counts() {
     let mut harness = harness(&[8, 8]);
@@ -20,8 +20,8 @@
     assert_eq!(harness.grants(), granted("a", "t1"));
 }
 
-// A digest is lost, and the next one tells of less. It replaces what was known; added up, the
-// target would look full for ever.
+// Guards against digests that add up, so that a target looks full forever after one is lost. Each full
+// digest replaces the previous one.
 #[test]
 fn digest_replaces_the_previous_one() {
     let mut harness = harness(&[2]);
@@ -32,8 +32,8 @@
     assert_eq!(harness.grants(), granted("waits", "t0"));
 }
 
-// A peer is killed with requests on a target; nobody tells that they have ended. A peer that is
-// not heard for a while has nothing there any more, as its connections ended with it.
+// Guards against slots that look taken after a peer was killed with requests on a target. Its
+// connections ended with it, so its load is dropped once it has been silent for a while.
 #[test]
 fn a_silent_peer_is_forgotten() {
     let mut harness = harness(&[2]);
@@ -48,8 +48,8 @@
     assert_eq!(harness.grants(), granted("waits", "t0"));
 }
 
-// A target slows down, and only a peer has requests there. What the peer sees is told: this daemon
-// sends its next request elsewhere, without having to make the experience itself.
+// Guards against each daemon having to measure a slow target itself. A peer with requests there sends
+// its samples, and the next request goes elsewhere.
 #[test]
 fn peer_samples_are_applied() {
     let mut harness = harness(&[8, 8]);
@@ -75,8 +75,8 @@
     assert_eq!(harness.grants(), granted("a", "t1"));
 }
 
-// A target fails three requests of three daemons. Each of them alone has seen one failure; told
-// of all, nobody sends it a fourth.
+// Guards against a failing target that gets another request because each daemon has seen only one of
+// the failures. Failures that peers report count as well.
 #[test]
 fn peer_failures_count() {
     let mut harness = harness(&[8, 8]);
@@ -99,7 +99,7 @@
     assert_eq!(harness.grants(), granted("a", "t1"));
 }
 
-// What this daemon has and sees is in its digest; what it saw is told once.
+// Guards against digests without a daemon's load, and against samples that are sent twice.
 #[test]
 fn digest_contains_loads_and_new_samples() {
     let mut harness = harness(&[8]);
@@ -123,9 +123,9 @@
     assert_eq!(loads, [(target_digest("t0"), 0)]);
 }
 
-// Daemons tell each other of each request. A digest with all that a daemon has on all targets takes
-// more bytes than the requests themselves: one change is told three times, and all of it four times a
-// second, so that a peer which missed all three learns it soon.
+// Guards against digests that take more bytes than the requests themselves, because each contains the
+// load of all targets. A change is sent three times and a full digest four times a second, so that a
+// peer that missed all three soon has the change.
 #[test]
 fn changes_are_sent_three_times_and_full_digests_periodically() {
     let mut harness = harness(&[8, 8]);
@@ -147,8 +147,8 @@
     assert_eq!(digest.loads.len(), 2);
 }
 
-// The three digests that tell of a request's end are all lost. The slot looks taken until the next one
-// that tells all, and no longer.
+// Guards against a slot that looks taken for long because all three digests with a request's end were
+// lost. The next full digest corrects it within 250 ms.
 #[test]
 fn full_digest_makes_up_for_lost_ones() {
     let mut sender = harness(&[1]);
@@ -167,8 +167,8 @@
     assert_eq!(receiver.grants(), granted("waits", "t0"));
 }
 
-// Where targets have room, a word on each request would change nobody's choice. What fills a target up,
-// or gives room back at a full one, is told at once, and who waits.
+// Guards against a message for each request while targets have free slots and no daemon's choice would
+// change. Filling up a target, releasing a slot of a full one and a waiting request are urgent.
 #[test]
 fn changes_that_affect_placement_are_urgent() {
     let mut harness = harness(&[4]);
@@ -179,7 +179,7 @@
         urgent.push(harness.dispatcher.is_news_urgent());
         let _ = harness.dispatcher.digest();
     }
-    // From the second on two slots are left or less; "e" waits.
+    // From the second request on at most two slots are free; "e" waits.
     assert_eq!(urgent, [false, true, true, true, true]);
     harness.end("a", "t0");
     assert!(harness.dispatcher.is_news_urgent());
--- a/crates/lilaccrank/tests/suite/dispatch_spread.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_spread.rs
@@ -1,4 +1,4 @@
-//! Daemons that see the same targets and do not all take the same one.
+//! Daemons with the same view of the targets choose different ones.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 };
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
 
-/// Most requests on one of 140 targets, where each of seventy daemons has sent one and none has heard
-/// of another.
+/// Returns the largest number of requests on one of 140 targets, after each of seventy daemons has sent
+/// one without a digest of another.
 fn max_requests_on_one_target(order: impl Fn(&mut [Target], &String)) -> usize {
     let ids: Vec<String> = (0..140).map(|i| format!("t{i}")).collect();
     let mut sent: IndexMap<String, usize> = IndexMap::new();
@@ -36,9 +36,9 @@
     sent.into_values().max().unwrap_or(0)
 }
 
-// All daemons of a fleet lose power and start again at the peak. Each sees idle targets only, since
-// none has heard of another yet. In one order for all, the first request of each daemon goes to the
-// same target, which turns most of them away; in an order of their own they find free slots.
+// Guards against one target that gets the first request of all daemons after a fleet restarts at peak
+// load: without digests all targets look idle, and in a common order of targets the same one comes
+// first and rejects most requests. Each daemon has an order of its own.
 #[test]
 fn daemons_that_start_together_choose_different_targets() {
     assert_eq!(max_requests_on_one_target(|_, _| ()), 70);
@@ -46,8 +46,8 @@
     assert!(spread <= 4, "{spread}");
 }
 
-/// Eight daemons that each have an ask of these tiers waiting for the one slot of a target, which a
-/// ninth one holds, and have told each other so.
+/// Eight daemons that each have an ask waiting for the only slot of a target, which a ninth daemon
+/// holds, and have exchanged digests.
 struct WaitingDaemons {
     daemons: Vec<Harness>,
 }
@@ -66,6 +66,7 @@
         waiting
     }
 
+    /// Delivers each daemon's digest to all others.
     fn exchange_digests(&self) {
         for (from, sender) in self.daemons.iter().enumerate() {
             let digest = sender.dispatcher.digest();
@@ -77,14 +78,14 @@
         }
     }
 
-    /// The ninth daemon's request ends, and all hear of it at the same moment.
+    /// Ends the ninth daemon's request; all daemons get its digest at the same time.
     fn release_slot(&self) {
         for daemon in &self.daemons {
             deliver_digest(daemon, "holder", empty_digest());
         }
     }
 
-    /// Requests that got the slot since the last look.
+    /// Returns the requests granted since the last call.
     fn granted(&mut self) -> Vec<String> {
         let grants = self.daemons.iter_mut().flat_map(Harness::grants);
         grants.map(|(request, _)| request).collect()
@@ -97,9 +98,9 @@
     }
 }
 
-// A burst: reviews wait at all daemons, and a slot comes free at a ninth one that has nothing
-// waiting. All hear of it at once. If each takes it, seven of eight reviews wait in the engine's own
-// queue, behind which those of the next seconds wait too; one of them takes it.
+// Guards against all daemons taking the same free slot: in a burst, requests wait at every daemon and a
+// slot is released by one without a queue. If each took it, seven of eight requests would wait in the
+// engine's own queue and delay those of the next seconds. Only one daemon takes it.
 #[test]
 fn released_slot_is_taken_by_one_daemon() {
     let mut waiting = WaitingDaemons::new(|_| 0);
@@ -110,8 +111,8 @@
     assert_eq!(waiting.granted(), [] as [String; 0]);
 }
 
-// Reports wait at seven daemons and a review at one. The slot that comes free is the review's,
-// wherever it waits.
+// Guards against a free slot that goes to a later tier: an urgent request waits at one daemon, less
+// urgent ones at seven others.
 #[test]
 fn released_slot_goes_to_the_earliest_tier_of_all_daemons() {
     let mut waiting = WaitingDaemons::new(|i| u8::from(i != 5));
@@ -119,8 +120,8 @@
     assert_eq!(waiting.granted(), ["of 5"]);
 }
 
-// A peer told of a review that waits, and its caller has gone since. The room that is left to it is
-// taken by another daemon a moment later.
+// Guards against a slot left to a peer's urgent request whose caller has disconnected since. Another
+// daemon takes it shortly after.
 #[test]
 fn slot_left_to_a_cancelled_ask_is_taken() {
     let mut harness = harness(&[1]);
@@ -137,8 +138,8 @@
     assert_eq!(harness.grants(), granted("report", "t0"));
 }
 
-/// Whether an ask of a tier goes to a target that has so many tokens of a prompt still to read, of
-/// eight thousand in a second, once something of three tiers has come.
+/// Checks whether an ask of a tier is granted at a target that has so many prompt tokens left to
+/// prefill, at 8000 tokens a second, once all three tiers have had requests.
 macro_rules! prefill_backlog {
     ($name:ident, $tier:literal, $tokens:literal, $is_granted:literal) => {
         #[test]
@@ -157,10 +158,10 @@
     };
 }
 
-// A burst of long prompts: what is sent behind a prompt that is still read waits in the target's own
-// queue, where a review that comes a moment later waits behind it, and all streams of the target
-// pause. The later a tier, the less may be left to read. Half a second of reading is too much for
-// anyone's first token; a daemon lets the ask wait, and sends it to the target that is done first.
+// Guards against requests that queue inside the engine behind a long prefill in a burst of long
+// prompts: an urgent request that arrives a moment later waits behind them, and all streams of the
+// target pause. The later the tier, the smaller the prefill backlog it may join. Half a second of
+// prefill is too much for any first token; the request waits for the target that is done first.
 prefill_backlog!(first_tier_is_sent_behind_a_short_prefill, 0, 1_200, true);
 prefill_backlog!(first_tier_waits_for_a_long_prefill, 0, 2_000, false);
 prefill_backlog!(second_tier_is_sent_behind_a_shorter_prefill, 1, 600, true);
@@ -168,9 +169,9 @@
 prefill_backlog!(last_tier_is_sent_behind_a_minimal_prefill, 2, 200, true);
 prefill_backlog!(last_tier_waits_for_any_longer_prefill, 2, 600, false);
 
-// Nine daemons have the same view of nine targets, of which none has more than a tenth more to do
-// than another, and each gets a request before it hears of the others'. All of them on the least
-// loaded target would be nine where there is room for four.
+// Guards against all daemons choosing the least loaded target at the same time: nine daemons have the
+// same view of nine targets whose loads differ by at most a tenth, and each gets a request before the
+// next digest. The least loaded target has slots for four of the nine.
 #[test]
 fn daemons_with_the_same_view_choose_different_targets() {
     let mut sent: IndexMap<String, usize> = IndexMap::new();
--- a/crates/lilaccrank/tests/suite/dispatch_waits.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_waits.rs
@@ -1,4 +1,4 @@
-//! Slots that are left to earlier tiers, and how long asks wait for one.
+//! Slots that are reserved for earlier tiers, and how long requests wait for a slot.
 
 use std::time::Duration;
 
@@ -8,8 +8,7 @@
 use crate::dispatch_fixtures::{ask, ask_with_objective, harness, refused};
 use crate::dispatch_harness::Harness;
 
-/// Slots of one target of seven that a tier fills once something of other tiers has come, and
-/// some time has passed since.
+/// Checks how many of a target's seven slots a tier fills, some time after requests of other tiers.
 macro_rules! slots_filled {
     ($name:ident, $tier:literal, $others:expr, $elapsed:expr, $slots:literal) => {
         #[test]
@@ -30,8 +29,8 @@
     };
 }
 
-// A review waits for the end of a chat of tens of seconds: chats have filled every slot. Each tier
-// leaves a slot to each one before it.
+// Guards against urgent requests that wait tens of seconds because long answers of a later tier fill
+// every slot. Each tier leaves one slot to each tier before it.
 slots_filled!(first_tier_fills_all_slots, 0, [1, 2], Duration::ZERO, 7);
 slots_filled!(second_tier_leaves_one_slot, 1, [0, 2], Duration::ZERO, 6);
 slots_filled!(third_tier_leaves_two_slots, 2, [0, 1], Duration::ZERO, 5);
@@ -43,8 +42,8 @@
     6
 );
 
-// All callers of a pool are of the last tier, and are refused while slots stand empty. Slots are
-// kept for tiers of which something came in the last ten minutes.
+// Guards against refusals while reserved slots stay unused because all requests of a pool are of the
+// last tier. Slots are reserved for tiers that had requests in the last ten minutes.
 slots_filled!(only_tier_fills_all_slots, 2, [], Duration::ZERO, 7);
 slots_filled!(later_tiers_reserve_nothing, 1, [2], Duration::ZERO, 7);
 slots_filled!(
@@ -56,7 +55,8 @@
 );
 slots_filled!(reservation_expires, 2, [0, 1], Duration::from_secs(700), 7);
 
-/// Milliseconds for which an ask of a tier waits for a full target before it is refused.
+/// Checks that an ask of a tier is refused at a full target after a wait between these limits, in
+/// milliseconds.
 macro_rules! max_wait {
     ($name:ident, $tier:literal, $from:literal, $until:literal) => {
         #[test]
@@ -74,15 +74,15 @@
     };
 }
 
-// A caller that could come back in time hears too late that there is no place. Bulk is told as
-// soon as its first token would be late; urgent work goes on for a third of its time, since late
-// it is still worth more than bulk. Middle work that waited on would, in the order of arrival, make
-// all that comes behind it late as well.
+// Guards against refusals that come too late for the caller to retry. The last tier is refused once its
+// first token would be late. The first tier waits for a third of its deadline, since it is worth more
+// than bulk even if late. If the middle tier did the same, it would make all requests behind it late.
 max_wait!(last_tier_waits_for_its_objective, 2, 800, 950);
 max_wait!(middle_tier_waits_for_its_objective, 1, 800, 950);
 max_wait!(first_tier_waits_past_its_objective, 0, 2_900, 3_100);
 
-/// A full target of one slot, at which some chats have waited for nothing.
+/// Returns a harness whose only slot is taken and where four asks of the last tier have just waited and
+/// been refused.
 fn harness_after_refused_waits() -> Harness {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
@@ -95,9 +95,9 @@
     harness
 }
 
-// An hourly burst of chats over what the targets can do: each waits for nine tenths of a second and
-// is refused, and comes back with little time left. Once most waits end so, the next ones are told
-// at once. One waits on, and shows when there is room again.
+// Guards against waits that end in a refusal during a burst above the capacity: each request waits for
+// 0.9 s, is refused and retries with little time left. Once most waits end so, later requests are
+// refused at once. One still waits, to detect free slots.
 #[test]
 fn asks_are_refused_at_once_after_refused_waits() {
     let mut harness = harness_after_refused_waits();
@@ -111,7 +111,8 @@
     assert_eq!(harness.refusals(), []);
 }
 
-// What comes free goes to the first tier first: its asks wait, whatever became of others.
+// Guards against refusing the first tier at once: free slots go to it first, so its requests wait
+// whatever happened to others.
 #[test]
 fn the_first_tier_always_waits() {
     let mut harness = harness_after_refused_waits();
@@ -121,7 +122,7 @@
     assert_eq!(harness.refusals(), []);
 }
 
-// A tier alone in a pool, after a quiet time: nothing is remembered of a burst that has passed.
+// Guards against refusing requests at once because of a burst that is over.
 #[test]
 fn refused_waits_expire() {
     let mut harness = harness_after_refused_waits();
@@ -131,7 +132,7 @@
     assert_eq!(harness.refusals(), []);
 }
 
-// A customer of a higher rank goes first, whatever the tiers; within a rank tiers decide.
+// Guards against a tier that outweighs a customer's rank: ranks decide first, tiers within a rank.
 #[test]
 fn ranks_go_before_tiers() {
     let mut harness = harness(&[1]);
--- a/crates/lilaccrank/tests/suite/pool_lengths.rs
+++ b/crates/lilaccrank/tests/suite/pool_lengths.rs
@@ -1,23 +1,22 @@
-//! What comes of long answers beside short ones of their kind.
+//! Completion rate of long answers compared with that of shorter ones of the same kind.
 
 use crate::pool_model::{self, Answer, DispatcherPolicy, Kind, Load};
 
-/// How often the longest tenth of a kind, and the fifth below it, are whole, as a part of how often
-/// all of the kind are. Users count a day as failed where that is under one half. A day has some
-/// hundred answers of the longest tenth, of which four in ten are whole, so that luck moves the
-/// part by an eighth; to stay over one half on all but one day in five hundred, it has to be this
-/// much.
+/// Smallest completion rate of the longest tenth of a kind, and of the fifth below it, relative to that
+/// of all answers of the kind. Users count a day as failed below 0.5. A day has about a hundred answers
+/// in the longest tenth, of which 40 % are complete, so chance moves the ratio by an eighth. To stay
+/// above 0.5 on all but one day in five hundred, the ratio has to be this high.
 const MIN_COMPLETION_RATIO: f64 = 0.85;
-/// Days that are looked at together, so that luck does not decide.
+/// Days that are evaluated together, to reduce random variation.
 const DAYS: u64 = 8;
 
-/// How often answers are whole.
+/// Returns the fraction of answers that are complete.
 fn completion_rate(answers: &[Answer]) -> f64 {
     let complete = answers.iter().filter(|answer| answer.is_complete).count();
     complete as f64 / answers.len() as f64
 }
 
-/// How often the longest tenth, the fifth below it and all answers of a kind are whole.
+/// Returns the completion rates of the longest tenth, the fifth below it and all answers of a kind.
 fn completion_rates_by_length(kind: Kind, load: impl Fn(u64) -> Load) -> [f64; 3] {
     let days = (0..DAYS).map(load);
     let answers =
@@ -29,7 +28,7 @@
     [tenth, fifth, &answers].map(completion_rate)
 }
 
-/// A load under which long answers of a kind are whole as often as others.
+/// Checks that long answers of a kind are complete nearly as often as the others under a load.
 macro_rules! long_answers_complete {
     ($name:ident, $load:expr, $kind:expr) => {
         #[test]
@@ -42,7 +41,8 @@
     };
 }
 
-// Long answers on slow engines would be cut at their deadline, while short ones of their kind arrive whole.
+// Guards against long answers on slow engines that are cut off at their deadline while shorter ones of
+// the same kind complete.
 long_answers_complete!(
     long_chats_on_slow_engines,
     Load::busy_on_slow_engines,
--- a/crates/lilaccrank/tests/suite/pool_load.rs
+++ b/crates/lilaccrank/tests/suite/pool_load.rs
@@ -1,21 +1,20 @@
-//! Load patterns before a pool of engines: what comes of urgent work, and of the rest, beside ways
-//! to place requests that know nothing of tiers.
+//! Load patterns on a pool of engines: compares the dispatcher with placement policies that ignore
+//! tiers.
 
 use crate::pool_model::naive::{Naive, Pick};
 use crate::pool_model::{self, DispatcherPolicy, Kind, Load, Outcome};
 
-/// Part of the reviews that have their first token in time. The model's engines can read and
-/// generate for all reviews and reports of each pattern at once, so that nothing but a wrong
-/// place or a wrong order can make them late; what is missing to one are prompts of five times
-/// the usual length behind each other.
+/// Smallest fraction of reviews with a first token in time. The modelled engines have the capacity for
+/// all reviews and reports of each pattern, so only wrong placement or order makes them late. The rest
+/// are prompts of five times the usual length that queue behind each other.
 const MIN_REVIEWS_IN_TIME: f64 = 0.97;
-/// Part of the reports.
+/// Smallest fraction of reports with a first token in time.
 const MIN_REPORTS_IN_TIME: f64 = 0.95;
-/// Part by which a later tier may be answered more often than an earlier one: requests that came
-/// just before a burst.
+/// Largest excess of the answered fraction of a later tier over an earlier one, due to requests that
+/// arrive just before a burst.
 const MAX_TIER_INVERSION: f64 = 0.03;
 
-/// A load under the product's way and under the naive ones.
+/// Results of a load under the dispatcher and under the naive policies.
 struct Comparison {
     naive: Vec<(Pick, [Outcome; 3])>,
     dispatcher: [Outcome; 3],
@@ -57,7 +56,7 @@
     }
 }
 
-/// A pattern, and the part of the chats that are answered at least.
+/// Checks a load pattern; `$chats` is the smallest fraction of chats that must be answered.
 macro_rules! load_pattern {
     ($name:ident, $load:expr, $chats:literal) => {
         #[test]
@@ -72,21 +71,21 @@
     };
 }
 
-// Nothing is refused on a usual day.
+// On a usual day no request should be refused.
 load_pattern!(usual_day, Load::usual, 0.99);
-// At the top of the hour all devices wake: 2.1 times the usual rate for three seconds. It fills
-// nine tenths of the slots with chats, if they are let.
+// At the top of the hour all devices send requests: 2.1 times the usual rate for three seconds. Without
+// reserved slots, chats would take nine tenths of all slots.
 load_pattern!(hourly_burst, Load::hourly_burst, 0.9);
-// The same while a third of the engines is down. What ran on them is lost, and what they would
-// have run has to find room on the others.
+// The same while a third of the engines is down. Their running requests are lost, and the other engines
+// take the rest.
 load_pattern!(burst_with_engines_down, Load::burst_with_engines_down, 0.7);
-// Four times the usual chats for four seconds, more than all slots can hold. They wait or are
-// refused, and reviews don't notice.
+// Four times the usual chats for four seconds, more than there are slots. They wait or are refused, and
+// reviews are not affected.
 load_pattern!(flood_of_chats, Load::flood_of_chats, 0.6);
 
-// Seven daemons that tell each other nothing each see a seventh of the load. They put work where
-// the others have theirs, and chats take every slot: reviews wait at engines, in order of
-// arrival. What the daemons tell each other is what makes the difference.
+// Shows that the digests make the difference: without them each of seven daemons sees a seventh of the
+// load, they send to the same engines, and chats take every slot. Reviews then wait in the engines'
+// queues in order of arrival.
 #[test]
 fn reviews_are_late_without_digest_exchange() {
     let loads = (0..6).map(Load::flood_of_chats);
@@ -116,13 +115,13 @@
     );
 }
 
-/// Part of the share served of each of two tiers that the other has at least, where both have more work than
-/// the engines can do.
+/// Smallest ratio of the fractions served of two tiers that both exceed the capacity.
 const MIN_SHARE_RATIO: f64 = 0.85;
-/// Days that are looked at together, so that luck does not decide.
+/// Days that are evaluated together, to reduce random variation.
 const DAYS: u64 = 3;
 
-// Tags of the last tier, which need a slot for a moment, would be refused for slots reserved for long answers.
+// Guards against refusing short requests of the last tier, which hold a slot only briefly, because of
+// slots reserved for long answers.
 #[test]
 fn short_answers_of_the_last_tier_are_served_beside_long_ones() {
     let days = (0..DAYS).map(Load::busy_with_short_last_tier);
@@ -135,7 +134,10 @@
     };
     let [proposals, questions, tags] = [0, 1, 2].map(served);
     let summary = format!("proposals {proposals:.2}, questions {questions:.2}, tags {tags:.2}");
-    assert!(questions < 0.9, "the load is no shortage: {summary}");
+    assert!(
+        questions < 0.9,
+        "the load does not exceed the capacity: {summary}"
+    );
     assert!(tags >= questions * MIN_SHARE_RATIO, "{summary}");
     assert!(proposals >= questions && proposals >= tags, "{summary}");
 }
--- a/crates/lilaccrank/tests/suite/pool_model.rs
+++ b/crates/lilaccrank/tests/suite/pool_model.rs
@@ -1,9 +1,9 @@
-//! A pool of unlike engines before a few daemons, on a paused clock: what comes of a load pattern
-//! under a way to place requests.
+//! Simulates a pool of engines of different speeds behind a few daemons, on a paused clock, and returns
+//! the results of a load pattern under a placement policy.
 //!
-//! Engines batch continuously, read prompts in chunks between the tokens of other requests, admit
-//! in order of arrival and know no tiers, as those of the users do. What an engine can do, and the
-//! engines' speeds, are the users' own figures.
+//! Like the engines of the users, the modelled ones use continuous batching, prefill prompts in chunks
+//! between the decode steps of other requests, admit requests in order of arrival and know no tiers.
+//! Their capacities and speeds are the users' figures.
 
 #[path = "pool_model/dispatcher_policy.rs"]
 mod dispatcher_policy;
@@ -20,107 +20,107 @@
 use engine::Engine;
 pub use load::{Kind, Load};
 
-/// Time between two looks at the pool.
+/// Step of the simulation.
 const TICK: Duration = Duration::from_millis(1);
-/// Part of the time left that a refused caller waits at most before it comes back.
+/// Longest delay of a refused caller's retry, as a fraction of the time left to its deadline.
 const MAX_RETRY_DELAY_FRACTION: f64 = 1.0 / 3.0;
 
 /// One request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// When its caller first sent it, in milliseconds.
+    /// Time of the first attempt, in milliseconds.
     pub arrived: u64,
-    /// Daemon that took it.
+    /// Index of the daemon that received it.
     pub daemon: usize,
-    /// Its number.
+    /// Position in the load's list of requests.
     pub id: usize,
-    /// What it is.
+    /// Kind of request.
     pub kind: Kind,
-    /// Tokens that it generates.
+    /// Length of the answer, in tokens.
     pub output: u32,
-    /// Tokens of its prompt.
+    /// Length of the prompt, in tokens.
     pub prompt: u32,
-    /// Whether it was refused before.
+    /// Whether the caller has already retried after a refusal.
     pub has_retried: bool,
 }
 
-/// What a way to place requests decides.
+/// Decision of a policy on the request with the given id.
 #[derive(Clone, Debug)]
 pub enum Decision {
-    /// It goes on at this engine, behind what was generated of it.
+    /// Migrate it to this engine, which resumes after the tokens generated so far.
     Move(usize, usize),
-    /// It goes to this engine.
+    /// Send it to this engine.
     Send(usize, usize),
-    /// Its caller is told to come back after this many milliseconds.
+    /// Refuse it; the caller may retry after this many milliseconds.
     Refuse(usize, u64),
 }
 
-/// What happens to a request at an engine.
+/// Event of a request at an engine.
 #[derive(Clone, Copy, Debug)]
 pub enum Progress {
-    /// It has ended.
+    /// The answer is complete.
     Ended,
-    /// Its first token came.
+    /// The first token was generated.
     First,
-    /// So many tokens came since the last word, each so many milliseconds after the other.
+    /// Tokens since the last event and the mean interval between them, in milliseconds.
     Tokens(u32, f64),
-    /// It was cut at its deadline, with so many tokens generated.
+    /// The deadline has passed, after so many generated tokens.
     TimedOut(u32),
 }
 
-/// A way to place requests.
+/// Policy that places requests on engines.
 pub trait Policy {
-    /// A request has come.
+    /// Takes a request that has arrived.
     fn arrive(&mut self, request: &Request, now: u64);
-    /// What was decided since the last look.
+    /// Returns the decisions since the last call.
     fn decide(&mut self, engines: &[Engine], now: u64) -> Vec<Decision>;
-    /// Something happened to a request at an engine.
+    /// Takes an event of a request at an engine.
     fn progress(&mut self, request: &Request, engine: usize, progress: Progress, now: u64);
 }
 
-/// What came of the requests of one kind.
+/// Results of the requests of one tier.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// First token within the objective.
+    /// Requests with a first token within the objective.
     pub in_time: u32,
-    /// First token later.
+    /// Requests with a first token after the objective.
     pub late: u32,
-    /// Refused for good, or not answered at the end.
+    /// Requests refused for good, or without a first token at the end.
     pub lost: u32,
 }
 
 impl Outcome {
-    /// Part that was in time.
+    /// Returns the fraction of requests with a first token in time.
     pub fn fraction_in_time(&self) -> f64 {
         f64::from(self.in_time) / f64::from((self.in_time + self.late + self.lost).max(1))
     }
 
-    /// Part that was answered at all.
+    /// Returns the fraction of requests with a first token.
     pub fn fraction_answered(&self) -> f64 {
         let answered = self.in_time + self.late;
         f64::from(answered) / f64::from((answered + self.lost).max(1))
     }
 }
 
-/// What came of one request.
+/// Result of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
-    /// Milliseconds from its coming to its first token.
+    /// Time from arrival to the first token, in milliseconds.
     pub first: Option<u64>,
-    /// What it is.
+    /// Kind of request.
     pub kind: Kind,
-    /// Tokens of the whole answer.
+    /// Length of the complete answer, in tokens.
     pub length: u32,
-    /// Whether all of it came by its deadline.
+    /// Whether the answer was complete by the deadline.
     pub is_complete: bool,
 }
 
-/// Plays a load before a pool and returns what came of each kind.
+/// Simulates a load under a policy and returns the results by tier.
 pub fn simulate(load: &Load, policy: &mut dyn Policy) -> [Outcome; 3] {
     outcomes(&answers(load, policy))
 }
 
-/// Plays a load before a pool and returns what came of each request.
+/// Simulates a load under a policy and returns the result of each request.
 pub fn answers(load: &Load, policy: &mut dyn Policy) -> Vec<Answer> {
     let engines = (0..load.engines).map(|number| Engine::new(number, load.engine, load.speeds));
     let mut engines: Vec<Engine> = engines.collect();
@@ -194,7 +194,7 @@
 }
 
 impl Request {
-    /// Milliseconds until its caller's deadline.
+    /// Returns the time to the caller's deadline, in milliseconds.
     pub fn time_left(&self, now: u64) -> u64 {
         (self.arrived + self.kind.deadline_ms()).saturating_sub(now)
     }
--- a/crates/lilaccrank/tests/suite/pool_model/dispatcher_policy.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/dispatcher_policy.rs
@@ -1,4 +1,4 @@
-//! The product's own way: a dispatcher in each daemon, which tell each other what they have.
+//! Policy under test: a dispatcher in each daemon, which exchange digests.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,10 +17,10 @@
 
 use super::{Decision, Engine, Load, Policy, Progress, Request, TICK};
 
-/// Milliseconds between two digests of a daemon.
+/// Time between two digests of a daemon, in milliseconds.
 const DIGEST_INTERVAL_MS: u64 = 10;
 
-/// Tells the ask for a migration from the first ask of the same request.
+/// Suffix of the request id that marks the ask for a migration, unlike the first ask of the request.
 const MIGRATION_SUFFIX: &str = "+";
 
 /// An answer that is being generated.
@@ -33,7 +33,7 @@
     tokens: u32,
 }
 
-/// Whether an answer migrates to another engine.
+/// State of an answer's migration to another engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Migration {
     Requested,
@@ -49,13 +49,14 @@
     executor: LocalPool,
     load: Load,
     running: IndexMap<usize, Running>,
-    /// Whether they tell each other what they have.
+    /// Whether the daemons exchange digests.
     shares_digests: bool,
     spawner: LocalSpawner,
     verdicts: Rc<RefCell<Vec<Verdict>>>,
 }
 
 impl DispatcherPolicy {
+    /// Creates and starts a dispatcher for each daemon of the load's pool.
     pub fn new(load: &Load, shares_digests: bool) -> Self {
         let clock = PausedClock::new();
         let targets = (0..load.engines).map(|number| Target {
@@ -103,6 +104,7 @@
         }
     }
 
+    /// Delivers each daemon's digest to all others.
     fn exchange_digests(&self) {
         for (from, dispatcher) in self.daemons.iter().enumerate() {
             let digest = dispatcher.digest();
@@ -144,7 +146,7 @@
         self.spawner.spawn_local(call).unwrap();
     }
 
-    /// Asks for other engines for answers that are projected to miss their deadline.
+    /// Asks for another engine for each answer that is projected to miss its deadline.
     fn request_migrations(&mut self, now: u64) {
         let at = self.clock.now();
         let mut asks = Vec::new();
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Migrates an answer; gives the slot back if the answer has ended meanwhile.
+    /// Migrates an answer, or releases the granted slot if the answer has ended meanwhile.
     fn migrate(&mut self, id: usize, engine: usize) -> Option<Decision> {
         let Some(running) = self.running.get_mut(&id) else {
             let request = &self.ended[&id];
--- a/crates/lilaccrank/tests/suite/pool_model/load.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/load.rs
@@ -1,12 +1,12 @@
-//! Load patterns, from the users' sheet for their depots.
+//! Load patterns, based on the users' figures.
 
 use super::Request;
 use super::engine::EngineSpec;
 
-/// How many times longer than the mean the longest answers are.
+/// Ratio of the longest answer of a kind to the mean.
 const MAX_OUTPUT_RATIO: f64 = 10.0;
 
-/// What is asked, for each user in the order of its urgency.
+/// Kind of request; the kinds of each workload are in order of urgency.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
     /// Review of a contract.
@@ -23,12 +23,12 @@
     Tag,
 }
 
-/// The users' figures for a kind of request.
+/// Rate, lengths and time limits of a kind of request, as supplied by the users.
 struct Profile {
     deadline_ms: u64,
     /// Longest prompt, in tokens.
     longest: f64,
-    /// Time in which the caller expects the first token.
+    /// Time within which the caller expects the first token.
     objective_ms: u64,
     /// Mean length of the answer, in tokens.
     output: f64,
@@ -40,22 +40,22 @@
 }
 
 impl Kind {
-    /// Kinds of the depots and of the consortium.
+    /// Workload whose urgent tiers have short answers and whose last tier has long ones.
     pub const URGENT_SHORT: [Self; 3] = [Self::Review, Self::Report, Self::Chat];
-    /// Kinds of the caterers.
+    /// Workload whose urgent tiers have long answers and whose last tier has short ones.
     pub const URGENT_LONG: [Self; 3] = [Self::Proposal, Self::Question, Self::Tag];
 
-    /// Milliseconds in which its caller expects the first token.
+    /// Returns the first-token objective, in milliseconds.
     pub fn objective_ms(self) -> u64 {
         self.profile().objective_ms
     }
 
-    /// Milliseconds after which its caller leaves.
+    /// Returns the deadline of the whole answer, in milliseconds.
     pub fn deadline_ms(self) -> u64 {
         self.profile().deadline_ms
     }
 
-    /// Its tier.
+    /// Returns the tier, 0 for the most urgent.
     pub fn tier(self) -> u8 {
         self.profile().tier
     }
@@ -81,34 +81,34 @@
     }
 }
 
-/// A load before a pool.
+/// A load pattern and the pool that serves it.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Daemons that take requests in turn by chance.
+    /// Number of daemons; each request arrives at a random one.
     pub daemons: usize,
-    /// Engines that are down, from and until when in milliseconds.
+    /// Outages: engine, start and end in milliseconds.
     pub down: Vec<(usize, u64, u64)>,
-    /// What one engine of the pool can do.
+    /// Capacity of each engine at speed 1.
     pub engine: EngineSpec,
-    /// Engines of the pool.
+    /// Number of engines.
     pub engines: usize,
-    /// What is asked.
+    /// Kinds of requests, one for each tier.
     pub kinds: [Kind; 3],
-    /// Seed of everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Speeds of the engines, in turn.
+    /// Relative speeds of the engines, in turn.
     pub speeds: [f64; 3],
-    /// Whether callers name the length of their answer as the most that they take; else they name the
-    /// longest of its kind, and nobody knows how long it becomes.
+    /// Whether a request's token limit is the length of its answer. Otherwise it is the longest length of
+    /// its kind, and the length is unknown in advance.
     pub has_exact_token_limits: bool,
-    /// How many times the usual rate comes, from which second on.
+    /// Factors of the usual rate by tier, each from the given second on.
     pub rate_factors: Vec<(u64, [f64; 3])>,
-    /// Seconds in which requests come.
+    /// Duration in which requests arrive, in seconds.
     pub seconds: u64,
 }
 
 impl Load {
-    /// The users' usual day: seven daemons, twelve engines.
+    /// Usual rate on seven daemons and twelve engines.
     pub fn usual(seed: u64) -> Self {
         Self {
             daemons: 7,
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Devices wake on the hour: 2.1 times the usual rate for three seconds.
+    /// Burst on the hour: 2.1 times the usual rate for three seconds.
     pub fn hourly_burst(seed: u64) -> Self {
         Self {
             rate_factors: vec![(0, [1.0; 3]), (2, [2.1; 3]), (5, [1.0; 3])],
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The hourly burst while a third of the engines is down.
+    /// The hourly burst while a third of the engines is down for four seconds.
     pub fn burst_with_engines_down(seed: u64) -> Self {
         Self {
             down: (0..4).map(|engine| (engine * 3, 2_000, 6_000)).collect(),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Four times the usual chats, whose answers hold a slot for seconds.
+    /// Four times the usual chats for four seconds; each answer holds a slot for seconds.
     pub fn flood_of_chats(seed: u64) -> Self {
         Self {
             rate_factors: vec![(0, [1.0; 3]), (2, [1.0, 1.0, 4.0]), (6, [1.0; 3])],
@@ -148,9 +148,8 @@
         }
     }
 
-    /// The consortium at its busiest: nine engines of which two in three are slow by 1.7 / 0.6, 1.4 times
-    /// the usual rate, and twice that for the first three seconds. Callers name the same most for all
-    /// answers of a kind.
+    /// Peak load on nine engines of which two in three are slower by a factor of 1.7 / 0.6, with 1.6 times
+    /// the usual rate for the first three seconds. Token limits are the same for all requests of a kind.
     pub fn busy_on_slow_engines(seed: u64) -> Self {
         Self {
             daemons: 9,
@@ -163,8 +162,9 @@
         }
     }
 
-    /// The caterers at their busiest: half as much again as usual, before twelve engines of which one in three is 4.4
-    /// times slower. Tags, in the last tier, hold a slot for a tenth of the time of the others.
+    /// Peak load of [`Kind::URGENT_LONG`], 1.5 times the usual rate, on twelve engines of which one in
+    /// three is 4.4 times slower. Tags, in the last tier, hold a slot for a tenth of the time of the
+    /// others.
     pub fn busy_with_short_last_tier(seed: u64) -> Self {
         Self {
             engine: EngineSpec::FAST,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// The most tokens that the caller of a request takes.
+    /// Returns the token limit that the caller sets on a request.
     pub fn token_limit(&self, request: &Request) -> u32 {
         if self.has_exact_token_limits {
             return request.output;
@@ -185,18 +185,19 @@
         (request.kind.profile().output * MAX_OUTPUT_RATIO) as u32
     }
 
-    /// When all callers have their answers or have left.
+    /// Returns the time in milliseconds at which the last deadline has passed.
     pub fn end_ms(&self) -> u64 {
         let longest = self.kinds.map(Kind::deadline_ms).into_iter().max();
         self.seconds * 1_000 + longest.unwrap_or(0)
     }
 
+    /// Returns `true` if an engine is down at the given millisecond.
     pub fn is_down(&self, engine: usize, now: u64) -> bool {
         let mut down = self.down.iter();
         down.any(|(number, from, until)| *number == engine && (*from..*until).contains(&now))
     }
 
-    /// All requests, in the order of their coming.
+    /// Draws all requests, in order of arrival.
     pub fn requests(&self) -> Vec<Request> {
         let mut random = Random(self.seed.wrapping_add(1));
         let mut requests = Vec::new();
@@ -232,6 +233,7 @@
         }
     }
 
+    /// Returns the rate factors of the tiers in the given second.
     fn rate_factors_at(&self, second: u64) -> [f64; 3] {
         let mut past = self.rate_factors.iter().filter(|(from, _)| *from <= second);
         past.next_back()
@@ -239,15 +241,16 @@
     }
 }
 
-/// The same draws in every run.
+/// Linear congruential generator, for the same draws in every run.
 pub struct Random(u64);
 
 impl Random {
+    /// Creates a generator with the given seed.
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
 
-    /// At least 0, below 1.
+    /// Draws a number from the interval [0, 1).
     pub fn uniform(&mut self) -> f64 {
         self.0 = self
             .0
@@ -256,7 +259,7 @@
         (self.0 >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// Log-normal with this mean and sigma.
+    /// Draws from a log-normal distribution with this mean and sigma, capped at `limit`.
     fn log_normal(&mut self, mean: f64, sigma: f64, limit: f64) -> f64 {
         let (a, b) = (self.uniform().max(1e-12), self.uniform());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
--- a/crates/lilaccrank/tests/suite/pool_model/naive.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/naive.rs
@@ -1,23 +1,23 @@
-//! Ways to place requests that know nothing of tiers, and send everything at once.
+//! Baseline policies that ignore tiers and send every request at once.
 
 use super::load::Random;
 use super::{Decision, Engine, Policy, Progress, Request};
 
-/// Milliseconds by which an engine's report of its load lags.
+/// Delay of the engines' load reports, in milliseconds.
 const REPORT_LAG_MS: u64 = 1_500;
 
-/// How an engine is picked.
+/// Selection of an engine.
 #[derive(Clone, Copy, Debug)]
 pub enum Pick {
-    /// The least loaded by its last report.
+    /// The least loaded engine by the last report.
     LeastReported,
-    /// One after the other.
+    /// The engines in turn.
     RoundRobin,
-    /// The less loaded of two, by its last report.
+    /// The less loaded of two random engines by the last report.
     TwoChoices,
 }
 
-/// A naive way to place requests.
+/// Policy that sends each request at once to the engine picked.
 pub struct Naive {
     arrivals: Vec<usize>,
     next: usize,
@@ -28,6 +28,7 @@
 }
 
 impl Naive {
+    /// Creates a policy without any load report.
     pub fn new(pick: Pick) -> Self {
         Self {
             arrivals: Vec::new(),
--- a/crates/lilaccrank/tests/suite/rate_limit.rs
+++ b/crates/lilaccrank/tests/suite/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Shares of the rate that a target advertises.
+//! Division of a target's advertised rate limit among cells and daemons.
 
 use std::time::{Duration, Instant};
 
@@ -19,7 +19,7 @@
     (0..daemons).map(|number| format!("vm-{number}")).collect()
 }
 
-/// Cells of a fleet that send to the same target.
+/// Returns the cells of a fleet, all of which send to the same target.
 fn cells(count: u16) -> Vec<CellId> {
     (0..count).map(|index| CellId { count, index }).collect()
 }
@@ -30,12 +30,13 @@
     shares.filter(|share| share.per_s > 0.0).collect()
 }
 
-/// What a target bears in four seconds: one and a half times its rate, and five requests.
+/// Returns how many requests a target tolerates in four seconds: 1.5 times its rate, and five more.
 fn tolerated_requests(per_s: f64) -> usize {
     (1.5 * 4.0 * per_s + 5.0) as usize
 }
 
-/// Most requests in four seconds, if each bucket is full and there are always some to send.
+/// Returns the number of requests sent in four seconds if all buckets are full at the start and there
+/// is always a request to send.
 fn max_requests_in_four_seconds(shares: &[Share]) -> usize {
     let now = Instant::now();
     let mut buckets: Vec<_> = shares
@@ -56,7 +57,7 @@
     sent
 }
 
-// Guards against shares that add up to more than the rate, and against bursts of many cells at once.
+// Guards against shares that exceed the rate in total, and against bursts of many cells at once.
 #[test]
 fn shares_add_up_to_the_rate() {
     for count in [1, 2, 8, 32] {
@@ -80,7 +81,8 @@
     }
 }
 
-// Guards against a divided fleet whose cells share a target without knowing of each other.
+// Guards against cells that use the same target but are not among its sharers, so that they exceed its
+// rate together.
 #[test]
 fn cells_that_share_targets_share_their_rates() {
     let members = fleet(64);
@@ -99,7 +101,7 @@
             }
         }
     }
-    // Where one daemon dispatches a pool there are no cells.
+    // Without cells, where one daemon dispatches a pool, the default cell is the only sharer.
     assert_eq!(Cell::default().sharers(12), [Cell::default().id()]);
 }
 
@@ -111,7 +113,7 @@
     (0..count).map(target).collect()
 }
 
-/// Dispatchers of one cell with one target that has a limit, each of which always has asks waiting.
+/// Dispatchers of one cell for one target with a rate limit; each always has asks waiting.
 struct Dispatchers {
     daemons: Vec<Harness>,
     grants: Vec<usize>,
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Lets a tick pass, in which all daemons grant what they can; what they did is told after it.
+    /// Advances all daemons by a tick, in which they grant what they can, then exchanges digests.
     fn tick(&mut self, tier: impl Fn(usize) -> u8) {
         let mut granted = 0;
         for (number, daemon) in self.daemons.iter_mut().enumerate() {
@@ -172,8 +174,8 @@
     }
 }
 
-// Guards against daemons of a cell that each spend the whole rate, and against a rate of which a part is
-// never used: all have work waiting all the time.
+// Guards against daemons of a cell that each use the whole rate, and against a rate that is not used up
+// although all daemons always have requests waiting.
 #[test]
 fn a_cell_keeps_to_a_rate_and_uses_it() {
     for daemons in [1, 3, 7, 15] {
@@ -201,7 +203,7 @@
     }
 }
 
-// Guards against work of a later tier at one daemon that takes a request from an earlier tier at another.
+// Guards against a later tier at one daemon that uses the rate while an earlier tier waits at another.
 #[test]
 fn an_earlier_tier_at_another_daemon_goes_first() {
     let mut cell = Dispatchers::new(2, 2.0);
@@ -233,13 +235,16 @@
     let later = now + Duration::from_millis(500);
     bucket.set(share(0.5), later);
     assert!(bucket.allows(0, later));
-    assert!(!bucket.allows(1, later), "one is left to others");
+    assert!(
+        !bucket.allows(1, later),
+        "one request is reserved for others"
+    );
     bucket.take(1, later);
     assert!(!bucket.allows(0, later + Duration::from_millis(1_900)));
     assert!(bucket.allows(0, later + Duration::from_millis(2_100)));
 }
 
-// Guards against a made-up count that closes a target for good.
+// Guards against an invalid count that blocks a target forever.
 #[test]
 fn a_debt_is_bounded() {
     let now = Instant::now();
@@ -268,7 +273,10 @@
     let now = Instant::now();
     let after = |ms| now + Duration::from_millis(ms);
     let mut advisories = Advisories::default();
-    assert!(!advisories.note(limit(None), now), "no limit is no news");
+    assert!(
+        !advisories.note(limit(None), now),
+        "no limit is the initial state"
+    );
     assert!(advisories.note(limit(Some(2_400)), after(1)));
     assert!(!advisories.note(limit(Some(2_400)), after(2)));
     assert_eq!(limits(&advisories, after(2)), [(TARGET, 2.4)]);
@@ -280,12 +288,12 @@
     };
     assert!(
         advisories.merge(&[late], after(40)).is_empty(),
-        "seen before it was lifted"
+        "observed before the limit was lifted"
     );
 }
 
-// Guards against a limit that outlives the answers that told of it, and against one that is forgotten while it
-// is still advertised.
+// Guards against a limit that stays in force after the answers that advertise it have ended, and against
+// one that expires while it is still advertised.
 #[test]
 fn limit_expires_without_new_answers() {
     let now = Instant::now();
@@ -298,7 +306,7 @@
         sent_updates += advisories.take_updates(8, at).len();
         assert_eq!(limits(&advisories, at), [(TARGET, 0.5)]);
     }
-    assert!(sent_updates <= 3 * 8, "{sent_updates} times told in 100 s");
+    assert!(sent_updates <= 3 * 8, "{sent_updates} updates in 100 s");
     let expiry = now + Duration::from_secs(99) + RATE_LIMIT_LIFETIME;
     assert!(limits(&advisories, expiry).is_empty());
 }
