--- a/crates/lilaccrank/src/advisories.rs
+++ b/crates/lilaccrank/src/advisories.rs
@@ -26,11 +26,11 @@
 /// Time to live of a rate limit after the latest answer that advertised it.
 pub const RATE_LIMIT_LIFETIME: Duration = Duration::from_secs(60);
 /// Age from which a rate limit that is still advertised is propagated again.
-const REFRESH: Duration = Duration::from_secs(15);
+const RATE_LIMIT_REFRESH_AGE: Duration = Duration::from_secs(15);
 /// Facts kept.
 pub const CAPACITY: usize = 1_024;
 /// Load updates that carry a new fact. More than one may be lost on a bad link.
-const UPDATES: u8 = 3;
+const TRANSMIT_LIMIT: u8 = 3;
 
 /// Position of a fact in the order in which a daemon received its facts.
 pub type Revision = u64;
@@ -97,9 +97,9 @@
 struct Record {
     fact: Fact,
     revision: Revision,
-    seen: Instant,
+    observed_at: Instant,
     /// Load updates that have carried it.
-    updates: u8,
+    transmissions: u8,
 }
 
 impl Fact {
@@ -131,7 +131,7 @@
 
 impl Record {
     fn advisory(&self, now: Instant) -> Advisory {
-        let age = now.saturating_duration_since(self.seen);
+        let age = now.saturating_duration_since(self.observed_at);
         Advisory {
             age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
             fact: self.fact,
@@ -139,15 +139,15 @@
     }
 
     fn is_current(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.seen) < self.fact.lifetime()
+        now.saturating_duration_since(self.observed_at) < self.fact.lifetime()
     }
 
     /// Whether another fact with the same key, observed at `seen`, replaces this one.
-    fn is_superseded(&self, fact: Fact, seen: Instant) -> bool {
-        let later = seen.saturating_duration_since(self.seen);
+    fn is_superseded(&self, fact: Fact, observed_at: Instant) -> bool {
+        let later = observed_at.saturating_duration_since(self.observed_at);
         match fact {
             Fact::Crash { .. } | Fact::Quarantined { .. } => false,
-            Fact::RateLimit { .. } if fact == self.fact => later >= REFRESH,
+            Fact::RateLimit { .. } if fact == self.fact => later >= RATE_LIMIT_REFRESH_AGE,
             Fact::Completed { .. } | Fact::RateLimit { .. } => !later.is_zero(),
         }
     }
@@ -178,21 +178,21 @@
 
     /// Merges facts of a load update, which all daemons of the cell receive from its sender.
     pub fn merge_update(&mut self, advisories: &[Advisory], now: Instant) -> Vec<Fact> {
-        self.merge_with(advisories, UPDATES, now)
+        self.merge_with(advisories, TRANSMIT_LIMIT, now)
     }
 
     /// How long requests with this content are still quarantined: enough targets crashed under it, and
     /// none has completed it since.
     #[must_use]
-    pub fn quarantine(&self, content: ContentDigest, now: Instant) -> Option<Duration> {
-        let recorded = self.facts.get(&Key::Quarantined(content));
-        let recorded = recorded.map(|record| record.seen);
-        let mut seen: Vec<_> = self.crashes(content, now).collect();
-        seen.sort_unstable_by_key(|at| Reverse(*at));
-        let by_crashes = seen.get(QUARANTINE_CRASHES - 1).copied();
-        let since = recorded.max(by_crashes)?;
-        let left = (since + LIFETIME).checked_duration_since(now);
-        left.filter(|left| !left.is_zero())
+    pub fn quarantine_remaining(&self, content: ContentDigest, now: Instant) -> Option<Duration> {
+        let stored_at = self.facts.get(&Key::Quarantined(content));
+        let stored_at = stored_at.map(|record| record.observed_at);
+        let mut crash_times: Vec<_> = self.crashes(content, now).collect();
+        crash_times.sort_unstable_by_key(|at| Reverse(*at));
+        let by_crashes = crash_times.get(QUARANTINE_CRASHES - 1).copied();
+        let since = stored_at.max(by_crashes)?;
+        let remaining = (since + LIFETIME).checked_duration_since(now);
+        remaining.filter(|remaining| !remaining.is_zero())
     }
 
     /// Contents that are quarantined, and for how long they have been.
@@ -203,17 +203,22 @@
             .values()
             .filter_map(|record| record.fact.content());
         let contents: IndexSet<_> = contents.collect();
-        let left = |content: ContentDigest| {
-            let left = self.quarantine(content, now)?;
-            Some((content, LIFETIME.saturating_sub(left)))
+        let remaining = |content: ContentDigest| {
+            let remaining = self.quarantine_remaining(content, now)?;
+            Some((content, LIFETIME.saturating_sub(remaining)))
         };
-        contents.into_iter().filter_map(left).collect()
+        contents.into_iter().filter_map(remaining).collect()
     }
 
     /// Adds a quarantine of this age from the platform's store. Returns whether it is new.
-    pub fn note_recorded(&mut self, content: ContentDigest, age: Duration, now: Instant) -> bool {
-        let seen = now.checked_sub(age).unwrap_or(now);
-        self.insert(Fact::Quarantined { content }, seen, 0, now)
+    pub fn note_stored_quarantine(
+        &mut self,
+        content: ContentDigest,
+        age: Duration,
+        now: Instant,
+    ) -> bool {
+        let observed_at = now.checked_sub(age).unwrap_or(now);
+        self.insert(Fact::Quarantined { content }, observed_at, 0, now)
     }
 
     /// Whether a target crashed lately.
@@ -244,16 +249,22 @@
     /// New facts for the next load update, `limit` at most.
     pub fn take_updates(&mut self, limit: usize, now: Instant) -> Vec<Advisory> {
         let new = self.facts.values_mut();
-        let new = new.filter(|record| record.updates < UPDATES && record.is_current(now));
+        let new =
+            new.filter(|record| record.transmissions < TRANSMIT_LIMIT && record.is_current(now));
         let taken = new.take(limit).map(|record| {
-            record.updates += 1;
+            record.transmissions += 1;
             record.advisory(now)
         });
         taken.collect()
     }
 
     /// Facts received after `revision`, `limit` at most, and the revision up to which they are complete.
-    fn after(&self, revision: Revision, limit: usize, now: Instant) -> (Vec<Advisory>, Revision) {
+    fn facts_after(
+        &self,
+        revision: Revision,
+        limit: usize,
+        now: Instant,
+    ) -> (Vec<Advisory>, Revision) {
         let later = self.facts.values();
         let mut later: Vec<_> = later.filter(|record| record.revision > revision).collect();
         later.sort_unstable_by_key(|record| record.revision);
@@ -261,39 +272,53 @@
             Some(_) => later[limit - 1].revision,
             None => self.revision,
         };
-        let told = later.into_iter().take(limit);
-        let told = told.filter(|record| record.is_current(now));
-        (told.map(|record| record.advisory(now)).collect(), up_to)
+        let page = later.into_iter().take(limit);
+        let page = page.filter(|record| record.is_current(now));
+        (page.map(|record| record.advisory(now)).collect(), up_to)
     }
 
-    fn merge_with(&mut self, advisories: &[Advisory], updates: u8, now: Instant) -> Vec<Fact> {
+    fn merge_with(
+        &mut self,
+        advisories: &[Advisory],
+        transmissions: u8,
+        now: Instant,
+    ) -> Vec<Fact> {
         let mut new = Vec::new();
         for advisory in advisories {
             let age = Duration::from_millis(advisory.age_ms.into());
-            let seen = now.checked_sub(age).unwrap_or(now);
-            if age < advisory.fact.lifetime() && self.insert(advisory.fact, seen, updates, now) {
+            let observed_at = now.checked_sub(age).unwrap_or(now);
+            if age < advisory.fact.lifetime()
+                && self.insert(advisory.fact, observed_at, transmissions, now)
+            {
                 new.push(advisory.fact);
             }
         }
         new
     }
 
-    fn insert(&mut self, fact: Fact, seen: Instant, updates: u8, now: Instant) -> bool {
+    fn insert(
+        &mut self,
+        fact: Fact,
+        observed_at: Instant,
+        transmissions: u8,
+        now: Instant,
+    ) -> bool {
         self.facts.retain(|_, record| record.is_current(now));
-        if !self.is_news(fact, seen, now) {
+        if !self.is_new(fact, observed_at, now) {
             return false;
         }
         if let Fact::Completed { content } = fact {
-            let of = Some(content);
-            self.facts
-                .retain(|_, record| record.fact.content() != of || record.seen > seen);
+            let fact_content = Some(content);
+            self.facts.retain(|_, record| {
+                record.fact.content() != fact_content || record.observed_at > observed_at
+            });
         }
         self.revision += 1;
         let record = Record {
             fact,
             revision: self.revision,
-            seen,
-            updates,
+            observed_at,
+            transmissions,
         };
         self.facts.insert(fact.key(), record);
         if self.facts.len() > CAPACITY {
@@ -303,33 +328,33 @@
     }
 
     /// Whether a fact changes the set.
-    fn is_news(&self, fact: Fact, seen: Instant, now: Instant) -> bool {
+    fn is_new(&self, fact: Fact, observed_at: Instant, now: Instant) -> bool {
         if let Some(known) = self.facts.get(&fact.key()) {
-            return known.is_superseded(fact, seen);
+            return known.is_superseded(fact, observed_at);
         }
         match fact {
             Fact::Crash { content, .. } => {
-                self.is_later_than_completed(content, seen)
+                self.is_later_than_completed(content, observed_at)
                     && self.crashes(content, now).count() < QUARANTINE_CRASHES
             }
-            Fact::Quarantined { content } => self.is_later_than_completed(content, seen),
+            Fact::Quarantined { content } => self.is_later_than_completed(content, observed_at),
             Fact::Completed { .. } => true,
             Fact::RateLimit { per_1000_s, .. } => per_1000_s.is_some(),
         }
     }
 
-    fn is_later_than_completed(&self, content: ContentDigest, seen: Instant) -> bool {
+    fn is_later_than_completed(&self, content: ContentDigest, observed_at: Instant) -> bool {
         let completed = self.facts.get(&Key::Completed(content));
-        completed.is_none_or(|record| record.seen < seen)
+        completed.is_none_or(|record| record.observed_at < observed_at)
     }
 
     /// When targets crashed under this content.
     fn crashes(&self, content: ContentDigest, now: Instant) -> impl Iterator<Item = Instant> {
         let crashes = self.facts.values().filter(move |record| {
-            matches!(record.fact, Fact::Crash { content: of, .. } if of == content)
+            matches!(record.fact, Fact::Crash { content: fact_content, .. } if fact_content == content)
                 && record.is_current(now)
         });
-        crashes.map(|record| record.seen)
+        crashes.map(|record| record.observed_at)
     }
 
     /// Drops the oldest fact that no quarantine rests on.
@@ -349,7 +374,8 @@
             content.is_some_and(|content| crashes[&content] >= QUARANTINE_CRASHES)
         };
         let records = self.facts.values().enumerate();
-        let oldest = records.min_by_key(|(_, record)| (is_quarantined(record.fact), record.seen));
+        let oldest =
+            records.min_by_key(|(_, record)| (is_quarantined(record.fact), record.observed_at));
         if let Some((index, _)) = oldest {
             self.facts.swap_remove_index(index);
         }
--- a/crates/lilaccrank/src/advisories/recent.rs
+++ b/crates/lilaccrank/src/advisories/recent.rs
@@ -10,7 +10,7 @@
 use crate::ids::ContentDigest;
 
 /// A content is remembered for this long at least, and twice as long at most.
-const REMEMBERED: Duration = Duration::from_secs(30);
+const RETENTION: Duration = Duration::from_secs(30);
 /// Contents remembered, in each of two sets; the older set is dropped as a whole.
 const CAPACITY: usize = 2_048;
 
@@ -19,7 +19,7 @@
 pub struct RecentContents {
     current: IndexSet<ContentDigest>,
     previous: IndexSet<ContentDigest>,
-    since: Instant,
+    rotated_at: Instant,
 }
 
 impl RecentContents {
@@ -29,7 +29,7 @@
         Self {
             current: IndexSet::new(),
             previous: IndexSet::new(),
-            since: now,
+            rotated_at: now,
         }
     }
 
@@ -46,14 +46,14 @@
     }
 
     fn rotate(&mut self, now: Instant) {
-        let age = now.saturating_duration_since(self.since);
-        if age < REMEMBERED && self.current.len() < CAPACITY {
+        let age = now.saturating_duration_since(self.rotated_at);
+        if age < RETENTION && self.current.len() < CAPACITY {
             return;
         }
         self.previous = std::mem::take(&mut self.current);
-        if age >= REMEMBERED * 2 {
+        if age >= RETENTION * 2 {
             self.previous.clear();
         }
-        self.since = now;
+        self.rotated_at = now;
     }
 }
--- a/crates/lilaccrank/src/advisories/record.rs
+++ b/crates/lilaccrank/src/advisories/record.rs
@@ -35,7 +35,7 @@
         let entries = entries.filter_map(move |entry| {
             let content = ContentDigest::from_str_radix(&entry.content, 16).ok()?;
             let at = Duration::from_millis(entry.at_ms);
-            Some((content, since_1970(now).saturating_sub(at)))
+            Some((content, since_epoch(now).saturating_sub(at)))
         });
         entries.filter(|(_, age)| *age < LIFETIME).take(CAPACITY)
     }
@@ -50,7 +50,7 @@
         all.sort_by_key(|(_, age)| *age);
         all.truncate(CAPACITY);
         let entry = |(content, age): (ContentDigest, Duration)| Entry {
-            at_ms: u64::try_from(since_1970(now).saturating_sub(age).as_millis())
+            at_ms: u64::try_from(since_epoch(now).saturating_sub(age).as_millis())
                 .unwrap_or(u64::MAX),
             content: format!("{content:016x}"),
         };
@@ -58,7 +58,7 @@
     }
 }
 
-fn since_1970(now: SystemTime) -> Duration {
+fn since_epoch(now: SystemTime) -> Duration {
     now.duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default()
 }
--- a/crates/lilaccrank/src/advisories/sync.rs
+++ b/crates/lilaccrank/src/advisories/sync.rs
@@ -53,7 +53,7 @@
     /// The next request to `peer`.
     pub fn pull(&mut self, peer: &VmId, known: &Advisories, now: Instant) -> Pull {
         let cursor = self.0.entry(peer.clone()).or_default();
-        let (pushed, pushing) = known.after(cursor.pushed, PAGE, now);
+        let (pushed, pushing) = known.facts_after(cursor.pushed, PAGE, now);
         cursor.pushing = pushing;
         Pull {
             after: cursor.pulled,
@@ -63,7 +63,7 @@
     }
 
     /// Merges the reply of `peer`. Returns the facts that are new.
-    pub fn take(
+    pub fn merge_page(
         &mut self,
         peer: &VmId,
         page: &Page,
@@ -72,16 +72,16 @@
     ) -> Vec<Fact> {
         let cursor = self.0.entry(peer.clone()).or_default();
         // What was pushed to an earlier incarnation is lost with it.
-        let is_cumulative = cursor.incarnation == page.incarnation || cursor.pushed == 0;
-        let pushed = if is_cumulative { cursor.pushing } else { 0 };
-        let nothing_new_meanwhile = pushed == known.revision;
+        let is_push_kept = cursor.incarnation == page.incarnation || cursor.pushed == 0;
+        let pushed = if is_push_kept { cursor.pushing } else { 0 };
+        let has_pushed_all = pushed == known.revision;
         let advisories = &page.advisories[..page.advisories.len().min(PAGE)];
         let new = known.merge(advisories, now);
         *cursor = Cursor {
             incarnation: page.incarnation,
             pulled: page.revision,
             // Facts that came from the peer are not echoed.
-            pushed: if nothing_new_meanwhile {
+            pushed: if has_pushed_all {
                 known.revision
             } else {
                 pushed
@@ -108,15 +108,19 @@
         true => pull.after,
         false => 0,
     };
-    let (advisories, revision) = known.after(after, PAGE, now);
-    let is_all = revision == known.revision;
+    let (advisories, revision) = known.facts_after(after, PAGE, now);
+    let is_complete = revision == known.revision;
     let pushed = &pull.pushed[..pull.pushed.len().min(PAGE)];
     let new = known.merge(pushed, now);
     let page = Page {
         advisories,
         incarnation,
         // Facts that the asker pushed are not echoed.
-        revision: if is_all { known.revision } else { revision },
+        revision: if is_complete {
+            known.revision
+        } else {
+            revision
+        },
     };
     (page, new)
 }
--- a/crates/lilaccrank/src/lease.rs
+++ b/crates/lilaccrank/src/lease.rs
@@ -23,7 +23,7 @@
 
 pub use candidate::{Attempt, Candidate};
 pub use held::{Held, Lost, Reason, Renewal};
-pub use keeper::{Keeper, Tenure};
+pub use keeper::{Keeper, LeaseHandle};
 
 use context::Context;
 
@@ -66,15 +66,15 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Guard {
     /// When no earlier holder can believe in its lease any more.
-    pub earlier_ended: Instant,
+    pub predecessor_expired_at: Instant,
     /// The number to send with each act.
     pub fence: Fence,
     /// Up to when an act may start.
-    pub until: Instant,
+    pub expires_at: Instant,
 }
 
 /// Whatever gives leave to act.
-pub trait Guards {
+pub trait GuardSource {
     /// Leave to act now. Ask anew right before each act: after a pause of this process the
     /// lease may be over, and this is where the holder learns it.
     fn guard(&self) -> Result<Guard>;
--- a/crates/lilaccrank/src/lease/candidate.rs
+++ b/crates/lilaccrank/src/lease/candidate.rs
@@ -10,16 +10,16 @@
 use crate::store::{self, Expect, Store, Version};
 
 /// Looks at a held lease this often per duration, or when it may end.
-const LOOKS_PER_DURATION: u32 = 4;
+const POLLS_PER_DURATION: u32 = 4;
 
 /// A lease that this process would like to hold.
 #[derive(Default)]
 pub struct Candidate {
-    seen: Option<Seen>,
+    first_seen: Option<FirstSeen>,
     sent: Option<Sent>,
 }
 
-struct Seen {
+struct FirstSeen {
     at: Instant,
     version: Version,
 }
@@ -33,8 +33,8 @@
 }
 
 /// How the record found may be replaced.
-struct Opening {
-    earlier: Duration,
+struct Acquisition {
+    predecessor_duration: Duration,
     expect: Expect,
     fence: Fence,
 }
@@ -63,39 +63,39 @@
             && let Some(sent) = self.phase.sent
             && found.record.holder == self.context.holder
             && found.record.attempt == sent.attempt
-            && self.context.until(sent.at) > self.context.clock.now()
+            && self.context.expires_at(sent.at) > self.context.clock.now()
         {
             // The answer was lost after the write took effect.
             let (fence, version) = (found.record.fence, found.version);
             return Attempt::Held(self.held(fence, version, sent, found.record.duration()));
         }
-        match self.opening(found) {
-            Ok(opening) => self.take(opening).await,
+        match self.acquisition(found) {
+            Ok(acquisition) => self.take(acquisition).await,
             Err(wait) => Attempt::Wait(self, wait),
         }
     }
 
     /// Whether the lease may be taken, or how long to wait until the next look.
-    fn opening(&mut self, found: Option<Found>) -> Result<Opening, Duration> {
+    fn acquisition(&mut self, found: Option<Found>) -> Result<Acquisition, Duration> {
         let next = self.next_fence();
         let Some(Found { record, version }) = found else {
-            return Ok(Opening {
-                earlier: Duration::ZERO,
+            return Ok(Acquisition {
+                predecessor_duration: Duration::ZERO,
                 expect: Expect::Absent,
                 fence: next,
             });
         };
-        let waited = self.waited(version);
-        let mine = record.holder == self.context.holder;
+        let unchanged_for = self.unchanged_for(version);
+        let is_own = record.holder == self.context.holder;
         let duration = record.duration();
-        if record.released || mine || waited >= duration {
-            return Ok(Opening {
-                earlier: duration,
+        if record.released || is_own || unchanged_for >= duration {
+            return Ok(Acquisition {
+                predecessor_duration: duration,
                 expect: Expect::Version(version),
                 fence: next,
             });
         }
-        Err((duration - waited).min(duration / LOOKS_PER_DURATION))
+        Err((duration - unchanged_for).min(duration / POLLS_PER_DURATION))
     }
 
     /// Above each number seen, and lifted to the seconds of the wall clock. A process that starts
@@ -112,27 +112,29 @@
 
     /// How long this version has been there for sure. The record's own times say nothing: its
     /// writer's clock may be far off, and the write may have been under way for long.
-    fn waited(&mut self, version: Version) -> Duration {
+    fn unchanged_for(&mut self, version: Version) -> Duration {
         let now = self.context.clock.now();
-        match &self.phase.seen {
-            Some(seen) if seen.version == version => now - seen.at,
+        match &self.phase.first_seen {
+            Some(first_seen) if first_seen.version == version => now - first_seen.at,
             _ => {
-                self.phase.seen = Some(Seen { at: now, version });
+                self.phase.first_seen = Some(FirstSeen { at: now, version });
                 Duration::ZERO
             }
         }
     }
 
-    async fn take(mut self, opening: Opening) -> Attempt<S, C> {
+    async fn take(mut self, acquisition: Acquisition) -> Attempt<S, C> {
         let (sent, outcome) = self
             .context
-            .write(opening.fence, false, opening.expect)
+            .write(acquisition.fence, false, acquisition.expect)
             .await;
         self.phase.sent = Some(sent);
         match outcome {
             Ok(version) => {
-                let earlier = opening.earlier.max(self.context.cfg.duration);
-                Attempt::Held(self.held(opening.fence, version, sent, earlier))
+                let predecessor_duration = acquisition
+                    .predecessor_duration
+                    .max(self.context.cfg.duration);
+                Attempt::Held(self.held(acquisition.fence, version, sent, predecessor_duration))
             }
             Err(err) => self.wait_after(&err),
         }
@@ -143,23 +145,23 @@
         fence: Fence,
         version: Version,
         sent: Sent,
-        earlier: Duration,
+        predecessor_duration: Duration,
     ) -> Lease<Held, S, C> {
-        let earlier_ended = self.context.clock.now() + earlier;
-        let until = self.context.until(sent.at);
+        let predecessor_expired_at = self.context.clock.now() + predecessor_duration;
+        let expires_at = self.context.expires_at(sent.at);
         Lease {
-            phase: Held::new(earlier_ended, fence, until, version),
+            phase: Held::new(predecessor_expired_at, fence, expires_at, version),
             context: self.context,
         }
     }
 
     /// Drawn from the whole interval, so that candidates don't return to the store together.
     fn wait_after(self, err: &store::Error) -> Attempt<S, C> {
-        let ceiling = self.context.cfg.duration / LOOKS_PER_DURATION;
-        let least = match err {
+        let ceiling = self.context.cfg.duration / POLLS_PER_DURATION;
+        let min_wait = match err {
             store::Error::Throttled { retry_after } => *retry_after,
             _ => Duration::ZERO,
         };
-        Attempt::Wait(self, least + backoff::full_jitter(ceiling))
+        Attempt::Wait(self, min_wait + backoff::full_jitter(ceiling))
     }
 }
--- a/crates/lilaccrank/src/lease/context.rs
+++ b/crates/lilaccrank/src/lease/context.rs
@@ -46,7 +46,7 @@
     }
 
     /// End of a tenure whose write was sent at `sent_at`.
-    pub(super) fn until(&self, sent_at: Instant) -> Instant {
+    pub(super) fn expires_at(&self, sent_at: Instant) -> Instant {
         sent_at + self.cfg.duration.saturating_sub(self.cfg.margin)
     }
 
--- a/crates/lilaccrank/src/lease/held.rs
+++ b/crates/lilaccrank/src/lease/held.rs
@@ -6,17 +6,17 @@
 
 use super::candidate::Candidate;
 use super::context::Sent;
-use super::{Error, Fence, Guard, Guards, Lease, Result};
+use super::{Error, Fence, Guard, GuardSource, Lease, Result};
 use crate::clock::Clock;
 use crate::store::{self, Expect, Store, Version};
 
 /// A lease that this process holds, as long as its own clock says so.
 pub struct Held {
-    earlier_ended: Instant,
+    predecessor_expired_at: Instant,
     fence: Fence,
     /// A write that may have changed the version.
     unresolved: Option<Sent>,
-    until: Instant,
+    expires_at: Instant,
     version: Version,
 }
 
@@ -49,16 +49,16 @@
 
 impl Held {
     pub(super) fn new(
-        earlier_ended: Instant,
+        predecessor_expired_at: Instant,
         fence: Fence,
-        until: Instant,
+        expires_at: Instant,
         version: Version,
     ) -> Self {
         Self {
-            earlier_ended,
+            predecessor_expired_at,
             fence,
             unresolved: None,
-            until,
+            expires_at,
             version,
         }
     }
@@ -66,8 +66,8 @@
 
 impl<S: Store, C: Clock> Lease<Held, S, C> {
     /// When this process stops to believe in the lease unless it renews.
-    pub fn until(&self) -> Instant {
-        self.phase.until
+    pub fn expires_at(&self) -> Instant {
+        self.phase.expires_at
     }
 
     /// Renews once. The write fails if another took the lease meanwhile, so that a holder that
@@ -85,7 +85,7 @@
         match outcome {
             Ok(version) => {
                 self.phase.version = version;
-                self.phase.until = self.context.until(sent.at);
+                self.phase.expires_at = self.context.expires_at(sent.at);
             }
             Err(store::Error::Conflict { .. }) => return self.lost(Reason::Taken),
             Err(store::Error::Unknown) => self.phase.unresolved = Some(sent),
@@ -116,13 +116,13 @@
         self.phase.version = found.version;
         self.phase.unresolved = None;
         if found.record.attempt == sent.attempt {
-            self.phase.until = self.context.until(sent.at);
+            self.phase.expires_at = self.context.expires_at(sent.at);
         }
         Ok(true)
     }
 
     fn still_held(self) -> Renewal<S, C> {
-        if self.context.clock.now() >= self.phase.until {
+        if self.context.clock.now() >= self.phase.expires_at {
             return self.lost(Reason::Expired);
         }
         Renewal::Held(self)
@@ -140,15 +140,15 @@
     }
 }
 
-impl<S: Store, C: Clock> Guards for Lease<Held, S, C> {
+impl<S: Store, C: Clock> GuardSource for Lease<Held, S, C> {
     fn guard(&self) -> Result<Guard> {
-        if self.context.clock.now() >= self.phase.until {
+        if self.context.clock.now() >= self.phase.expires_at {
             return Err(Error::NotHeld(self.context.key.clone()));
         }
         Ok(Guard {
-            earlier_ended: self.phase.earlier_ended,
+            predecessor_expired_at: self.phase.predecessor_expired_at,
             fence: self.phase.fence,
-            until: self.phase.until,
+            expires_at: self.phase.expires_at,
         })
     }
 }
--- a/crates/lilaccrank/src/lease/keeper.rs
+++ b/crates/lilaccrank/src/lease/keeper.rs
@@ -11,7 +11,7 @@
 
 use super::candidate::{Attempt, Candidate};
 use super::held::{Held, Lost, Renewal};
-use super::{Error, Fence, Guard, Guards, Lease, Result};
+use super::{Error, Fence, Guard, GuardSource, Lease, Result};
 use crate::clock::{self, Clock};
 use crate::store::Store;
 
@@ -21,12 +21,12 @@
 /// The task that keeps one lease.
 pub struct Keeper<S, C> {
     candidate: Lease<Candidate, S, C>,
-    tenure: Tenure<C>,
+    handle: LeaseHandle<C>,
 }
 
 /// What a [`Keeper`] holds at the moment; clones share it.
 #[derive(Clone)]
-pub struct Tenure<C> {
+pub struct LeaseHandle<C> {
     clock: C,
     guard: Rc<Cell<Option<Guard>>>,
     key: Rc<str>,
@@ -35,18 +35,18 @@
 impl<S: Store, C: Clock> Keeper<S, C> {
     /// Will keep the lease of `candidate` once it runs.
     pub fn new(candidate: Lease<Candidate, S, C>) -> Self {
-        let tenure = Tenure {
+        let handle = LeaseHandle {
             clock: candidate.context.clock.clone(),
             guard: Rc::default(),
             key: candidate.context.key.as_str().into(),
         };
-        Self { candidate, tenure }
+        Self { candidate, handle }
     }
 
     /// The handle under which others act.
     #[must_use]
-    pub fn tenure(&self) -> Tenure<C> {
-        self.tenure.clone()
+    pub fn handle(&self) -> LeaseHandle<C> {
+        self.handle.clone()
     }
 
     /// Takes and renews the lease until dropped; it then ends by time.
@@ -64,7 +64,7 @@
             // An attempt is not cut short: a write under way may take effect all the same, and
             // only its outcome tells whether there is a lease to give up.
             match self.candidate.attempt().await {
-                Attempt::Held(held) => match hold(&self.tenure, held, stop.as_mut()).await {
+                Attempt::Held(held) => match hold(&self.handle, held, stop.as_mut()).await {
                     Ended::Lost(lost) => self.candidate = lost.retry(),
                     Ended::Stopped(lost) => {
                         self.candidate = lost.retry();
@@ -73,7 +73,7 @@
                 },
                 Attempt::Wait(candidate, wait) => {
                     self.candidate = candidate;
-                    if stopped_within(&self.tenure.clock, wait, stop.as_mut()).await {
+                    if stopped_within(&self.handle.clock, wait, stop.as_mut()).await {
                         return self;
                     }
                 }
@@ -89,30 +89,30 @@
 }
 
 async fn hold<S: Store, C: Clock>(
-    tenure: &Tenure<C>,
+    handle: &LeaseHandle<C>,
     mut held: Lease<Held, S, C>,
     mut stop: Pin<&mut impl FusedFuture<Output = ()>>,
 ) -> Ended<S, C> {
     let wait = held.context.cfg.duration / RENEWALS_PER_DURATION;
     loop {
         // A stop may have come during the attempt; then nobody must begin to act.
-        if stopped_within(&tenure.clock, Duration::ZERO, stop.as_mut()).await {
+        if stopped_within(&handle.clock, Duration::ZERO, stop.as_mut()).await {
             break;
         }
-        tenure.guard.set(held.guard().ok());
-        if stopped_within(&tenure.clock, wait, stop.as_mut()).await {
+        handle.guard.set(held.guard().ok());
+        if stopped_within(&handle.clock, wait, stop.as_mut()).await {
             break;
         }
         match held.renew().await {
             Renewal::Held(renewed) => held = renewed,
             Renewal::Lost(lost) => {
-                log::warn!("lease {}: lost, {}", tenure.key, lost.reason());
-                tenure.guard.set(None);
+                log::warn!("lease {}: lost, {}", handle.key, lost.reason());
+                handle.guard.set(None);
                 return Ended::Lost(lost);
             }
         }
     }
-    tenure.guard.set(None);
+    handle.guard.set(None);
     Ended::Stopped(held.release().await)
 }
 
@@ -128,9 +128,9 @@
     clock::timeout(clock, wait, stop.as_mut()).await.is_some()
 }
 
-impl<C: Clock> Tenure<C> {
+impl<C: Clock> LeaseHandle<C> {
     /// Leave to go on with an act that was begun under this number.
-    pub fn guard_at(&self, fence: Fence) -> Result<Guard> {
+    pub fn guard_for(&self, fence: Fence) -> Result<Guard> {
         let guard = self.guard()?;
         if guard.fence != fence {
             return Err(Error::NotHeld(self.key.to_string()));
@@ -139,10 +139,10 @@
     }
 }
 
-impl<C: Clock> Guards for Tenure<C> {
+impl<C: Clock> GuardSource for LeaseHandle<C> {
     fn guard(&self) -> Result<Guard> {
         let now = self.clock.now();
-        let guard = self.guard.get().filter(|guard| now < guard.until);
+        let guard = self.guard.get().filter(|guard| now < guard.expires_at);
         guard.ok_or_else(|| Error::NotHeld(self.key.to_string()))
     }
 }
--- a/crates/lilaccrank/src/orders.rs
+++ b/crates/lilaccrank/src/orders.rs
@@ -19,7 +19,7 @@
 use crate::clock::{self, Clock};
 use crate::document::Fencing;
 use crate::ids::{ModelId, TargetId};
-use crate::lease::{self, Fence, Guard, Guards};
+use crate::lease::{self, Fence, Guard, GuardSource};
 
 /// Result of giving an order.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
@@ -160,7 +160,7 @@
     closed_until: Mutex<Option<Instant>>,
 }
 
-impl<C: Clock, G: Guards, T: Targets> Orders<C, G, T> {
+impl<C: Clock, G: GuardSource, T: Targets> Orders<C, G, T> {
     /// Gives orders to `targets` under `guards`.
     pub fn new(cfg: Settings, clock: C, guards: G, targets: T) -> Self {
         Self {
@@ -256,7 +256,7 @@
     }
 
     fn wait_left(&self, guard: &Guard) -> Duration {
-        let safe_from = guard.earlier_ended + self.cfg.in_flight;
+        let safe_from = guard.predecessor_expired_at + self.cfg.in_flight;
         safe_from.saturating_duration_since(self.clock.now())
     }
 }
--- a/crates/lilaccrank/src/quota.rs
+++ b/crates/lilaccrank/src/quota.rs
@@ -39,31 +39,31 @@
 
 /// A peer that is not heard for this long is no longer counted on, if it tells what it has four
 /// times a second.
-const FRESH: Duration = Duration::from_millis(1_000);
+const PEER_STALE_AFTER: Duration = Duration::from_millis(1_000);
 /// Time for which a peer that is not heard keeps its part. Data centres are cut off from each
 /// other for minutes now and then; but a vm that was replaced must give its part back soon.
-const RESERVED: Duration = Duration::from_secs(20);
+const SHARE_RETENTION: Duration = Duration::from_secs(20);
 /// Longer times without a look are times in which this daemon stood still: it may never hear what
 /// the others spent meanwhile, and fills nothing up for them.
-const STOOD_STILL: Duration = Duration::from_millis(1_000);
+const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_000);
 /// Counts of a customer are told for this long after they last changed; a datagram may be lost.
-const TOLD_FOR: Duration = Duration::from_millis(1_000);
+const REPORT_WINDOW: Duration = Duration::from_millis(1_000);
 /// Customers that asked nothing for this long are not looked at for messages.
-const RECENT: Duration = Duration::from_secs(5);
+const IDLE_AFTER: Duration = Duration::from_secs(5);
 /// Part of the burst that each tier leaves for those before it: with three tiers the last one
 /// passes while a third of the burst is there, and the first one finds two thirds.
-const LEFT_PART: f64 = 1.0 / 3.0;
+const HEADROOM_FRACTION_PER_TIER: f64 = 1.0 / 3.0;
 /// Part of the burst that is left for others at most.
-const MOST_LEFT: f64 = 2.0 / 3.0;
+const MAX_HEADROOM_FRACTION: f64 = 2.0 / 3.0;
 /// Requests below this part of the burst are small.
-const SMALL_PART: f64 = 0.02;
+const SMALL_REQUEST_FRACTION: f64 = 0.02;
 /// Longest time between two messages to the cell that tell all that changed of late.
-const WHOLE_EVERY: Duration = Duration::from_millis(250);
+const FULL_REPORT_INTERVAL: Duration = Duration::from_millis(250);
 /// Messages that tell one change to the cell: three in a row are lost once in 64,000 times on a bad link.
-const TOLD_TIMES: u8 = 3;
+const REPORT_REPEATS: u8 = 3;
 /// Part of the burst below which little is left of a quota. What passes elsewhere until it is told comes
 /// out of the rest.
-const SHORT_PART: f64 = 0.5;
+const LOW_BALANCE_FRACTION: f64 = 0.5;
 /// Customers that are kept before those that spent nothing of late are dropped.
 const ACCOUNTS_LIMIT: usize = 50_000;
 
@@ -72,31 +72,31 @@
 #[error("the quota is spent, try again in {retry_after:?}")]
 pub struct Error {
     /// What is left of it, as far as is known.
-    pub left: f64,
+    pub balance: f64,
     /// The part that the daemons which hear each other may spend.
-    pub part: f64,
+    pub share: f64,
     /// When there is room again.
     pub retry_after: Duration,
     /// What would have to be left, with what is kept for tiers before.
-    pub wanted: f64,
+    pub required: f64,
 }
 
 /// What a request takes out of a quota.
 #[derive(Clone, Copy, Debug)]
-pub struct Wish {
+pub struct Debit {
     /// Its tier among those of its customer.
     pub tier: Tier,
     /// What it counts as.
     pub units: u64,
 }
 
-impl Wish {
+impl Debit {
     /// What it has to leave for the tiers before its own, of a bucket that can hold `burst` by now.
-    fn leaves(self, burst: f64) -> f64 {
-        if (self.units as f64) < burst * SMALL_PART {
+    fn headroom(self, burst: f64) -> f64 {
+        if (self.units as f64) < burst * SMALL_REQUEST_FRACTION {
             return 0.0;
         }
-        burst * (f64::from(self.tier) * LEFT_PART).min(MOST_LEFT)
+        burst * (f64::from(self.tier) * HEADROOM_FRACTION_PER_TIER).min(MAX_HEADROOM_FRACTION)
     }
 }
 
@@ -115,7 +115,7 @@
 
 impl Spent {
     /// The later of two counts of one life.
-    fn later(self, other: Self) -> Self {
+    fn merged(self, other: Self) -> Self {
         Self {
             asked: self.asked.max(other.asked),
             passed: self.passed.max(other.passed),
@@ -124,7 +124,7 @@
     }
 
     /// Units spent since an earlier count.
-    fn since(self, earlier: Self) -> f64 {
+    fn units_since(self, earlier: Self) -> f64 {
         (self.passed - earlier.passed) as f64 - (self.returned - earlier.returned) as f64
     }
 }
@@ -134,10 +134,10 @@
 pub struct Quotas {
     accounts: IndexMap<CustomerId, Account>,
     /// Daemons that are assumed beside this one until they are heard.
-    assumed: usize,
+    assumed_peers: usize,
     /// What is asked of this daemon, of its cell and of the others.
     demand: Demand,
-    looked: Instant,
+    last_tick: Instant,
     peers: IndexMap<VmId, Peer>,
     /// Customers whose counts changed of late, so that not all of them are looked at for each message.
     recent: IndexSet<CustomerId>,
@@ -145,17 +145,17 @@
     reserve: f64,
     started: Instant,
     /// When the cell was last told all.
-    told_all: Option<Instant>,
+    last_full_report: Option<Instant>,
 }
 
 #[derive(Debug)]
 struct Account {
-    changed: Instant,
-    filled: Instant,
+    changed_at: Instant,
+    filled_at: Instant,
     /// How often the present counts were told to the cell.
-    told: u8,
+    times_reported: u8,
     /// What all daemons may still spend; below zero if they overspent.
-    left: f64,
+    balance: f64,
     /// Units a second that the customer may spend.
     quota_per_s: f64,
     spent: Spent,
@@ -163,7 +163,7 @@
 
 #[derive(Debug)]
 struct Peer {
-    heard: Instant,
+    last_heard: Instant,
     incarnation: Incarnation,
     /// What it had spent when it last told.
     spent: IndexMap<CustomerId, Spent>,
@@ -172,17 +172,17 @@
 impl Quotas {
     /// Nothing is known; `assumed` other daemons are taken to be there until they are heard.
     #[must_use]
-    pub fn new(assumed: usize, now: Instant) -> Self {
+    pub fn new(assumed_peers: usize, now: Instant) -> Self {
         Self {
             accounts: IndexMap::new(),
-            assumed,
+            assumed_peers,
             demand: Demand::new(now),
-            looked: now,
+            last_tick: now,
             peers: IndexMap::new(),
             recent: IndexSet::new(),
             reserve: 0.0,
             started: now,
-            told_all: None,
+            last_full_report: None,
         }
     }
 
@@ -202,12 +202,12 @@
         &mut self,
         customer: &CustomerId,
         quota: Quota,
-        wish: Wish,
+        debit: Debit,
         now: Instant,
     ) -> Result<bool> {
-        self.look(now);
-        let part_of_cell = self.demand.part_of_cell(customer, quota.per_s, now);
-        let part = self.part(now) * part_of_cell;
+        self.tick(now);
+        let cell_share = self.demand.cell_share(customer, quota.per_s, now);
+        let share = self.share(now) * cell_share;
         let quota = Quota {
             burst: quota.burst + self.reserve,
             ..quota
@@ -216,46 +216,46 @@
         self.recent.insert(customer.clone());
         let account = self.account(customer, now);
         account.quota_per_s = quota.per_s;
-        account.spent.asked += wish.units;
-        account.change(now);
-        account.fill(quota, part, now);
-        let burst = quota.burst * part;
+        account.spent.asked += debit.units;
+        account.mark_changed(now);
+        account.refill(quota, share, now);
+        let burst = quota.burst * share;
         let since_start = now.saturating_duration_since(started).as_secs_f64();
-        let filled = burst.min(since_start * quota.per_s * part);
+        let filled = burst.min(since_start * quota.per_s * share);
         // What is larger than the whole burst passes when the bucket is full.
-        let wanted = (wish.units as f64 + wish.leaves(filled)).min(burst);
-        if account.left < wanted {
-            let missing = (wanted - account.left) / (quota.per_s * part);
+        let required = (debit.units as f64 + debit.headroom(filled)).min(burst);
+        if account.balance < required {
+            let missing = (required - account.balance) / (quota.per_s * share);
             let retry_after = Duration::try_from_secs_f64(missing).unwrap_or(Duration::MAX);
             return Err(Error {
-                left: account.left,
-                part,
+                balance: account.balance,
+                share,
                 retry_after,
-                wanted,
+                required,
             });
         }
-        account.left -= wish.units as f64;
-        account.spent.passed += wish.units;
-        Ok(account.left < burst * SHORT_PART)
+        account.balance -= debit.units as f64;
+        account.spent.passed += debit.units;
+        Ok(account.balance < burst * LOW_BALANCE_FRACTION)
     }
 
     /// Gives back what was let pass and did not run after all.
     pub fn refund(&mut self, customer: &CustomerId, units: u64, now: Instant) {
         if let Some(account) = self.accounts.get_mut(customer) {
-            account.left += units as f64;
+            account.balance += units as f64;
             account.spent.returned += units;
-            account.change(now);
+            account.mark_changed(now);
             self.recent.insert(customer.clone());
         }
     }
 
     /// Has to be called often, so that a time in which this daemon stood still is known.
-    pub fn look(&mut self, now: Instant) {
-        let since = now.saturating_duration_since(self.looked);
-        self.looked = now;
-        if since > STOOD_STILL {
+    pub fn tick(&mut self, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.last_tick);
+        self.last_tick = now;
+        if elapsed > PAUSE_THRESHOLD {
             for account in self.accounts.values_mut() {
-                account.filled += since;
+                account.filled_at += elapsed;
             }
         }
         let own = self.accounts.iter();
@@ -265,7 +265,7 @@
             let asked = peer.spent.iter();
             asked.map(move |(customer, spent)| (vm, customer, spent.asked))
         });
-        self.demand.look(own, mates, now);
+        self.demand.tick(own, mates, now);
     }
 
     /// Sets this daemon's cell, and all daemons that are known to live, this one included. Who is no
@@ -282,8 +282,8 @@
     }
 
     /// Sets the time between two words of another cell.
-    pub fn set_pace(&mut self, pace: Duration) {
-        self.demand.set_pace(pace);
+    pub fn set_report_interval(&mut self, report_interval: Duration) {
+        self.demand.set_report_interval(report_interval);
     }
 
     /// What all daemons are to know of what is asked of this cell; one daemon of the cell tells it.
@@ -293,35 +293,37 @@
             let account = self.accounts.get(customer)?;
             Some((customer.clone(), account.quota_per_s))
         });
-        self.demand.tell(quotas, now)
+        self.demand.report_own(quotas, now)
     }
 
     /// Takes in what is asked of a cell.
-    pub fn heard_cell(&mut self, demand: CellDemand<CustomerId>, now: Instant) {
-        self.demand.heard(demand, now);
+    pub fn merge_cell_demand(&mut self, demand: CellDemand<CustomerId>, now: Instant) {
+        self.demand.merge(demand, now);
     }
 
     /// What the other daemons of the cell are to know by now: the counts that have changed, and now and
     /// then all that changed of late.
-    pub fn news(&mut self, now: Instant) -> Vec<(CustomerId, Spent)> {
+    pub fn report(&mut self, now: Instant) -> Vec<(CustomerId, Spent)> {
         let age = |at: Instant| now.saturating_duration_since(at);
-        let whole = self.told_all.is_none_or(|at| age(at) >= WHOLE_EVERY);
-        if whole {
-            self.told_all = Some(now);
-            self.forget_told(now);
+        let is_full = self
+            .last_full_report
+            .is_none_or(|at| age(at) >= FULL_REPORT_INTERVAL);
+        if is_full {
+            self.last_full_report = Some(now);
+            self.drop_idle(now);
         }
-        let mut news = Vec::new();
+        let mut report = Vec::new();
         for customer in &self.recent {
             let Some(account) = self.accounts.get_mut(customer) else {
                 continue;
             };
-            let of_late = age(account.changed) < TOLD_FOR;
-            if account.told < TOLD_TIMES || (whole && of_late) {
-                account.told = account.told.saturating_add(1);
-                news.push((customer.clone(), account.spent));
+            let changed_recently = age(account.changed_at) < REPORT_WINDOW;
+            if account.times_reported < REPORT_REPEATS || (is_full && changed_recently) {
+                account.times_reported = account.times_reported.saturating_add(1);
+                report.push((customer.clone(), account.spent));
             }
         }
-        news
+        report
     }
 
     /// What this daemon let pass, for the customers of which that changed of late.
@@ -329,80 +331,84 @@
     pub fn spent(&self, now: Instant) -> Vec<(CustomerId, Spent)> {
         let recent = self.recent.iter();
         let recent = recent.filter_map(|customer| Some((customer, self.accounts.get(customer)?)));
-        let recent = recent.filter(|(_, account)| now - account.changed < TOLD_FOR);
+        let recent = recent.filter(|(_, account)| now - account.changed_at < REPORT_WINDOW);
         recent
             .map(|(customer, account)| (customer.clone(), account.spent))
             .collect()
     }
 
-    fn forget_told(&mut self, now: Instant) {
+    fn drop_idle(&mut self, now: Instant) {
         let accounts = &self.accounts;
-        let is_recent = |account: &Account| now - account.changed < RECENT;
+        let is_recent = |account: &Account| now - account.changed_at < IDLE_AFTER;
         self.recent
             .retain(|customer| accounts.get(customer).is_some_and(is_recent));
     }
 
     /// Takes in what another daemon of the cell let pass.
-    pub fn heard(
+    pub fn merge_spent(
         &mut self,
         vm: &VmId,
         incarnation: Incarnation,
         spent: &[(CustomerId, Spent)],
         now: Instant,
     ) {
-        self.look(now);
+        self.tick(now);
         let peer = self.peers.entry(vm.clone()).or_insert_with(|| Peer {
-            heard: now,
+            last_heard: now,
             incarnation,
             spent: IndexMap::new(),
         });
         // What it spent while it was not heard came out of its own part.
-        let silent =
-            peer.incarnation != incarnation || now.saturating_duration_since(peer.heard) > FRESH;
-        if silent {
+        let was_silent = peer.incarnation != incarnation
+            || now.saturating_duration_since(peer.last_heard) > PEER_STALE_AFTER;
+        if was_silent {
             peer.spent.clear();
         }
-        peer.heard = now;
+        peer.last_heard = now;
         peer.incarnation = incarnation;
         for (customer, spent) in spent {
             // The first word about a customer may tell of times long past.
             let known = peer.spent.entry(customer.clone()).or_insert(*spent);
-            let later = known.later(*spent);
-            let new = later.since(*known);
-            *known = later;
+            let merged = known.merged(*spent);
+            let new = merged.units_since(*known);
+            *known = merged;
             if let Some(account) = self.accounts.get_mut(customer) {
-                account.left -= new;
+                account.balance -= new;
             }
         }
     }
 
     /// A daemon that ends says so: its part is free at once.
-    pub fn left(&mut self, vm: &VmId) {
+    pub fn remove_peer(&mut self, vm: &VmId) {
         self.peers.swap_remove(vm);
-        self.demand.left(vm);
+        self.demand.remove_peer(vm);
     }
 
     /// The part of its cell's quotas that the daemons which hear each other may spend.
-    fn part(&mut self, now: Instant) -> f64 {
-        let age = |peer: &Peer| now.saturating_duration_since(peer.heard);
-        self.peers.retain(|_, peer| age(peer) < RESERVED);
-        let fresh = self.peers.values().filter(|peer| age(peer) < FRESH).count();
-        let all = self.peers.len().max(self.assumed);
+    fn share(&mut self, now: Instant) -> f64 {
+        let age = |peer: &Peer| now.saturating_duration_since(peer.last_heard);
+        self.peers.retain(|_, peer| age(peer) < SHARE_RETENTION);
+        let fresh = self
+            .peers
+            .values()
+            .filter(|peer| age(peer) < PEER_STALE_AFTER)
+            .count();
+        let all = self.peers.len().max(self.assumed_peers);
         (1 + fresh) as f64 / (1 + all) as f64
     }
 
     fn account(&mut self, customer: &CustomerId, now: Instant) -> &mut Account {
         if self.accounts.len() >= ACCOUNTS_LIMIT {
             self.accounts
-                .retain(|_, account| now - account.changed < RESERVED);
+                .retain(|_, account| now - account.changed_at < SHARE_RETENTION);
         }
         let started = self.started;
         let account = self.accounts.entry(customer.clone());
         account.or_insert_with(|| Account {
-            changed: now,
-            filled: started,
-            told: 0,
-            left: 0.0,
+            changed_at: now,
+            filled_at: started,
+            times_reported: 0,
+            balance: 0.0,
             quota_per_s: 0.0,
             spent: Spent::default(),
         })
@@ -410,15 +416,15 @@
 }
 
 impl Account {
-    fn change(&mut self, now: Instant) {
-        self.changed = now;
-        self.told = 0;
+    fn mark_changed(&mut self, now: Instant) {
+        self.changed_at = now;
+        self.times_reported = 0;
     }
 
-    fn fill(&mut self, quota: Quota, part: f64, now: Instant) {
-        let since = now.saturating_duration_since(self.filled);
-        self.filled = now;
-        let filled = self.left + since.as_secs_f64() * quota.per_s * part;
-        self.left = filled.min(quota.burst * part);
+    fn refill(&mut self, quota: Quota, share: f64, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.filled_at);
+        self.filled_at = now;
+        let filled = self.balance + elapsed.as_secs_f64() * quota.per_s * share;
+        self.balance = filled.min(quota.burst * share);
     }
 }
--- a/crates/lilaccrank/src/quota/demand.rs
+++ b/crates/lilaccrank/src/quota/demand.rs
@@ -20,24 +20,24 @@
 
 /// Time between two samples of what was asked. Requests of one customer come in clumps: over a second
 /// a few dozen daemons see a like number of them.
-const SAMPLE_EVERY: Duration = Duration::from_secs(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// Weight of the newest sample.
-const GAIN: f64 = 0.5;
+const EWMA_WEIGHT: f64 = 0.5;
 /// Part of the quotas that is divided by the number of daemons, so that a cell of which nothing was
 /// asked so far has something to begin with.
-const EVEN_PART: f64 = 0.2;
+const EVEN_FRACTION: f64 = 0.2;
 /// Time after a start or a change of the cell until the parts are by demand. What is asked is known
 /// of most cells after two samples, and is mostly chance before: of cells that have just started, one
 /// that had heard only of the others took a fortieth of its quotas for two seconds.
-const SETTLED: Duration = Duration::from_secs(5);
+const SETTLING_TIME: Duration = Duration::from_secs(5);
 /// Time for which a daemon that vanished keeps its part: it may be cut off and spending. A vm that was
 /// replaced must give its part back soon.
-const KEPT: Duration = Duration::from_secs(20);
+const SHARE_RETENTION: Duration = Duration::from_secs(20);
 /// Paces without a word after which a cell counts as not heard.
-const UNHEARD_AFTER: f64 = 2.5;
+const STALE_AFTER_INTERVALS: f64 = 2.5;
 /// A cell tells of a customer that asks it for more than this part of what it has of the quota by number. Of
 /// the others, the cells assume this part.
-const TOLD_FROM: f64 = 0.5;
+const REPORT_THRESHOLD: f64 = 0.5;
 
 /// What is asked of one cell.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -55,7 +55,7 @@
 pub(super) struct Demand {
     cell: CellId,
     /// What cells told, this one included, by their index.
-    cells: IndexMap<u16, Told>,
+    cells: IndexMap<u16, CellReport>,
     /// Daemons that are known to live, this one included.
     live: IndexSet<VmId>,
     /// Daemons that vanished without a farewell.
@@ -63,17 +63,17 @@
     /// Daemons of the cell beside this one.
     mates: usize,
     /// Units asked of the cell, by daemon; this one has no name.
-    near: IndexMap<Option<VmId>, IndexMap<CustomerId, Rate>>,
+    rates_by_daemon: IndexMap<Option<VmId>, IndexMap<CustomerId, Rate>>,
     /// Time between two words of a cell.
-    pace: Duration,
-    sampled: Instant,
+    report_interval: Duration,
+    last_sample: Instant,
     /// When this daemon started or its cell last changed.
-    since: Instant,
+    cell_changed: Instant,
 }
 
 #[derive(Debug)]
-struct Told {
-    heard: Instant,
+struct CellReport {
+    last_heard: Instant,
     members: u32,
     rates: IndexMap<CustomerId, f64>,
 }
@@ -87,9 +87,9 @@
 }
 
 impl Rate {
-    fn count(&mut self, asked: u64, since: Duration) {
-        let new = asked.saturating_sub(self.asked) as f64 / since.as_secs_f64();
-        self.per_s += GAIN * (new - self.per_s);
+    fn add_sample(&mut self, asked: u64, elapsed: Duration) {
+        let new = asked.saturating_sub(self.asked) as f64 / elapsed.as_secs_f64();
+        self.per_s += EWMA_WEIGHT * (new - self.per_s);
         self.asked = self.asked.max(asked);
     }
 }
@@ -102,16 +102,16 @@
             live: IndexSet::new(),
             lost: IndexMap::new(),
             mates: 0,
-            near: IndexMap::new(),
-            pace: SAMPLE_EVERY,
-            sampled: now,
-            since: now,
+            rates_by_daemon: IndexMap::new(),
+            report_interval: SAMPLE_INTERVAL,
+            last_sample: now,
+            cell_changed: now,
         }
     }
 
     /// Sets the time between two words of a cell.
-    pub(super) fn set_pace(&mut self, pace: Duration) {
-        self.pace = pace;
+    pub(super) fn set_report_interval(&mut self, report_interval: Duration) {
+        self.report_interval = report_interval;
     }
 
     /// Sets the cell, the number of its daemons beside this one, and all daemons that are known to live.
@@ -123,7 +123,7 @@
         now: Instant,
     ) {
         if mates != self.mates || cell != self.cell {
-            self.since = now;
+            self.cell_changed = now;
         }
         if cell.count != self.cell.count {
             self.cells.clear();
@@ -138,122 +138,129 @@
 
     /// Takes in all that was asked of this daemon and of the others of its cell since each of them
     /// started.
-    pub(super) fn look<'a>(
+    pub(super) fn tick<'a>(
         &mut self,
         own: impl Iterator<Item = (&'a CustomerId, u64)>,
         mates: impl Iterator<Item = (&'a VmId, &'a CustomerId, u64)>,
         now: Instant,
     ) {
-        let since = now.saturating_duration_since(self.sampled);
-        if since < SAMPLE_EVERY {
+        let elapsed = now.saturating_duration_since(self.last_sample);
+        if elapsed < SAMPLE_INTERVAL {
             return;
         }
-        self.sampled = now;
+        self.last_sample = now;
         self.lost
-            .retain(|_, at| now.saturating_duration_since(*at) < KEPT);
+            .retain(|_, at| now.saturating_duration_since(*at) < SHARE_RETENTION);
         let own = own.map(|(customer, asked)| (None, customer, asked));
         let mates = mates.map(|(vm, customer, asked)| (Some(vm.clone()), customer, asked));
-        let mut before = std::mem::take(&mut self.near);
+        let mut before = std::mem::take(&mut self.rates_by_daemon);
         for (vm, customer, asked) in own.chain(mates) {
             let known = before
                 .get_mut(&vm)
                 .and_then(|rates| rates.swap_remove(customer));
             let mut rate = known.unwrap_or(Rate { asked, per_s: 0.0 });
-            rate.count(asked, since);
-            let rates = self.near.entry(vm).or_default();
+            rate.add_sample(asked, elapsed);
+            let rates = self.rates_by_daemon.entry(vm).or_default();
             rates.insert(customer.clone(), rate);
         }
     }
 
     /// What the other daemons are to know of this cell; `quotas` are the customers' quotas in units a second.
-    pub(super) fn tell(
+    pub(super) fn report_own(
         &mut self,
         quotas: impl Iterator<Item = (CustomerId, f64)>,
         now: Instant,
     ) -> CellDemand<CustomerId> {
-        let by_number = self.by_number();
+        let even_share = self.even_share();
         let rates = quotas.filter_map(|(customer, per_s)| {
-            let near = self.near_per_s(&customer);
-            let is_told = near > TOLD_FROM * by_number * per_s;
-            is_told.then(|| (customer, near.min(u32::MAX.into()) as u32))
+            let cell_rate = self.cell_per_s(&customer);
+            let is_reported = cell_rate > REPORT_THRESHOLD * even_share * per_s;
+            is_reported.then(|| (customer, cell_rate.min(u32::MAX.into()) as u32))
         });
         let demand = CellDemand {
             cell: self.cell,
             members: u32::try_from(1 + self.mates).unwrap_or(u32::MAX),
             rates: rates.collect(),
         };
-        self.heard(demand.clone(), now);
+        self.merge(demand.clone(), now);
         demand
     }
 
     /// Takes in what a cell told. Words about another division of the fleet are out of date.
-    pub(super) fn heard(&mut self, demand: CellDemand<CustomerId>, now: Instant) {
+    pub(super) fn merge(&mut self, demand: CellDemand<CustomerId>, now: Instant) {
         if demand.cell.count != self.cell.count {
             return;
         }
         let rates = demand.rates.into_iter();
-        let told = Told {
-            heard: now,
+        let report = CellReport {
+            last_heard: now,
             members: demand.members,
             rates: rates.map(|(id, per_s)| (id, per_s.into())).collect(),
         };
-        self.cells.insert(demand.cell.index, told);
+        self.cells.insert(demand.cell.index, report);
     }
 
     /// A daemon ends, and leaves its part to the others.
-    pub(super) fn left(&mut self, vm: &VmId) {
+    pub(super) fn remove_peer(&mut self, vm: &VmId) {
         self.live.swap_remove(vm);
         self.lost.swap_remove(vm);
-        self.near.swap_remove(&Some(vm.clone()));
+        self.rates_by_daemon.swap_remove(&Some(vm.clone()));
     }
 
     /// The part of a customer's quota of `per_s` units a second that this cell may spend.
-    pub(super) fn part_of_cell(&self, customer: &CustomerId, per_s: f64, now: Instant) -> f64 {
-        let by_number = self.by_number();
+    pub(super) fn cell_share(&self, customer: &CustomerId, per_s: f64, now: Instant) -> f64 {
+        let even_share = self.even_share();
         if self.cell.count < 2 {
-            return by_number;
+            return even_share;
         }
-        let all = self.all() as f64;
+        let daemon_count = self.daemon_count() as f64;
         // What cells are assumed to be asked of which nothing is told, for each of their daemons.
-        let untold = TOLD_FROM * per_s / all;
-        let rate = |told: &Told| match told.rates.get(customer) {
+        let unreported = REPORT_THRESHOLD * per_s / daemon_count;
+        let rate = |report: &CellReport| match report.rates.get(customer) {
             Some(rate) => *rate,
-            None => untold * f64::from(told.members),
+            None => unreported * f64::from(report.members),
         };
-        let heard = self.cells.values().filter(|told| self.is_heard(told, now));
-        let (members, sum) = heard.fold((0.0, 0.0), |(members, sum), told| {
-            (members + f64::from(told.members), sum + rate(told))
+        let fresh = self
+            .cells
+            .values()
+            .filter(|report| self.is_fresh(report, now));
+        let (members, sum) = fresh.fold((0.0, 0.0), |(members, sum), report| {
+            (members + f64::from(report.members), sum + rate(report))
         });
         let own = self.cells.get(&self.cell.index);
-        let Some(own) = own.filter(|told| self.is_heard(told, now)) else {
-            return by_number;
+        let Some(own) = own.filter(|report| self.is_fresh(report, now)) else {
+            return even_share;
         };
-        let unheard = sum / members * (all - members).max(0.0);
-        let total = sum + unheard;
+        let estimated = sum / members * (daemon_count - members).max(0.0);
+        let total = sum + estimated;
         if total <= 0.0 {
-            return by_number;
+            return even_share;
         }
-        let age = now.saturating_duration_since(self.since);
-        let settled = (age.as_secs_f64() / SETTLED.as_secs_f64()).min(1.0);
-        let by_demand = (1.0 - EVEN_PART) * settled;
-        by_number * (1.0 - by_demand) + by_demand * rate(own) / total
+        let age = now.saturating_duration_since(self.cell_changed);
+        let settled = (age.as_secs_f64() / SETTLING_TIME.as_secs_f64()).min(1.0);
+        let demand_weight = (1.0 - EVEN_FRACTION) * settled;
+        even_share * (1.0 - demand_weight) + demand_weight * rate(own) / total
     }
 
-    fn by_number(&self) -> f64 {
-        (1 + self.mates) as f64 / self.all() as f64
+    fn even_share(&self) -> f64 {
+        (1 + self.mates) as f64 / self.daemon_count() as f64
     }
 
     /// Daemons that may spend.
-    fn all(&self) -> usize {
+    fn daemon_count(&self) -> usize {
         (self.live.len() + self.lost.len()).max(1 + self.mates)
     }
 
-    fn is_heard(&self, told: &Told, now: Instant) -> bool {
-        now.saturating_duration_since(told.heard) < self.pace.mul_f64(UNHEARD_AFTER)
+    fn is_fresh(&self, report: &CellReport, now: Instant) -> bool {
+        now.saturating_duration_since(report.last_heard)
+            < self.report_interval.mul_f64(STALE_AFTER_INTERVALS)
     }
 
-    fn near_per_s(&self, customer: &CustomerId) -> f64 {
-        let rates = self.near.values().filter_map(|rates| rates.get(customer));
+    fn cell_per_s(&self, customer: &CustomerId) -> f64 {
+        let rates = self
+            .rates_by_daemon
+            .values()
+            .filter_map(|rates| rates.get(customer));
         rates.map(|rate| rate.per_s).sum()
     }
 }
--- a/crates/lilaccrank/tests/suite/advisories.rs
+++ b/crates/lilaccrank/tests/suite/advisories.rs
@@ -36,7 +36,10 @@
             for fact in $facts {
                 known.note(fact, now);
             }
-            assert_eq!(known.quarantine(CONTENT, now).is_some(), $expected);
+            assert_eq!(
+                known.quarantine_remaining(CONTENT, now).is_some(),
+                $expected
+            );
         }
     };
 }
@@ -56,19 +59,19 @@
     false
 );
 quarantine!(
-    answered_before_the_third,
+    completed_before_the_third,
     [crash(7, 1), crash(7, 2), COMPLETED, crash(7, 3)],
     false
 );
 quarantine!(
-    answered_after_the_third,
+    completed_after_the_third,
     [crash(7, 1), crash(7, 2), crash(7, 3), COMPLETED],
     false
 );
 
 // Guards against a request that one version of a target completes and the next one crashes under.
 #[test]
-fn crashes_after_an_answer_count_anew() {
+fn crashes_are_counted_anew_after_a_completion() {
     let now = Instant::now();
     let mut known = crashed(2, now);
     known.note(COMPLETED, now + Duration::from_secs(1));
@@ -76,42 +79,45 @@
     for target in 10..12 {
         known.note(crash(CONTENT, target), later);
     }
-    assert_eq!(known.quarantine(CONTENT, later), None);
+    assert_eq!(known.quarantine_remaining(CONTENT, later), None);
     known.note(crash(CONTENT, 12), later);
-    assert!(known.quarantine(CONTENT, later).is_some());
+    assert!(known.quarantine_remaining(CONTENT, later).is_some());
     let late = Advisory {
         age_ms: 1_500,
         fact: COMPLETED,
     };
     known.merge(&[late], later);
     assert!(
-        known.quarantine(CONTENT, later).is_some(),
+        known.quarantine_remaining(CONTENT, later).is_some(),
         "it was completed before"
     );
 }
 
 #[test]
-fn a_recorded_quarantine_holds_for_the_rest_of_its_time() {
+fn stored_quarantine_keeps_its_expiry() {
     let now = Instant::now();
     let mut known = Advisories::default();
-    assert!(known.note_recorded(CONTENT, LIFETIME / 2, now));
-    assert!(!known.note_recorded(CONTENT, LIFETIME / 2, now));
-    assert_eq!(known.quarantine(CONTENT, now), Some(LIFETIME / 2));
+    assert!(known.note_stored_quarantine(CONTENT, LIFETIME / 2, now));
+    assert!(!known.note_stored_quarantine(CONTENT, LIFETIME / 2, now));
+    assert_eq!(known.quarantine_remaining(CONTENT, now), Some(LIFETIME / 2));
     assert_eq!(known.quarantined(now), [(CONTENT, LIFETIME / 2)]);
-    assert_eq!(known.quarantine(CONTENT, now + LIFETIME / 2), None);
+    assert_eq!(
+        known.quarantine_remaining(CONTENT, now + LIFETIME / 2),
+        None
+    );
     let mut other = Advisories::default();
     other.merge(&known.take_updates(8, now), now);
-    assert!(other.quarantine(CONTENT, now).is_some());
+    assert!(other.quarantine_remaining(CONTENT, now).is_some());
 }
 
 #[test]
-fn an_answer_clears_a_recorded_quarantine() {
+fn completion_clears_a_stored_quarantine() {
     let now = Instant::now();
     let mut known = Advisories::default();
-    known.note_recorded(CONTENT, Duration::from_secs(1), now);
+    known.note_stored_quarantine(CONTENT, Duration::from_secs(1), now);
     known.note(COMPLETED, now);
-    assert_eq!(known.quarantine(CONTENT, now), None);
-    assert!(!known.note_recorded(CONTENT, Duration::from_secs(2), now));
+    assert_eq!(known.quarantine_remaining(CONTENT, now), None);
+    assert!(!known.note_stored_quarantine(CONTENT, Duration::from_secs(2), now));
 }
 
 fn recorded(record: &QuarantineRecord, now: SystemTime) -> Vec<(u64, Duration)> {
@@ -119,7 +125,7 @@
 }
 
 #[test]
-fn a_record_keeps_what_holds() {
+fn record_keeps_unexpired_entries() {
     let now = SystemTime::UNIX_EPOCH + Duration::from_secs(1_000_000);
     let mut record = QuarantineRecord::default();
     let age = Duration::from_secs(5);
@@ -141,7 +147,7 @@
 
 // Guards against a record that grows without bound, or that another writer has filled with nonsense.
 #[test]
-fn a_record_is_bounded_and_not_trusted() {
+fn record_is_bounded_and_validated() {
     let now = SystemTime::UNIX_EPOCH + Duration::from_secs(1_000_000);
     let mut record = QuarantineRecord::default();
     let many: Vec<_> = (0..1_000)
@@ -159,7 +165,7 @@
 
 // Guards against memory that grows with what callers send.
 #[test]
-fn completed_contents_are_forgotten() {
+fn completed_contents_expire() {
     let now = Instant::now();
     let after = |secs| now + Duration::from_secs(secs);
     let mut recent = RecentContents::new(now);
@@ -176,30 +182,33 @@
 }
 
 #[test]
-fn a_quarantine_lapses() {
+fn quarantine_expires() {
     let now = Instant::now();
     let known = crashed(3, now);
     let almost = LIFETIME - Duration::from_secs(1);
     assert_eq!(
-        known.quarantine(CONTENT, now + almost),
+        known.quarantine_remaining(CONTENT, now + almost),
         Some(LIFETIME - almost)
     );
-    assert_eq!(known.quarantine(CONTENT, now + LIFETIME), None);
+    assert_eq!(known.quarantine_remaining(CONTENT, now + LIFETIME), None);
 }
 
 #[test]
-fn ages_add_up_over_daemons() {
+fn ages_accumulate_across_daemons() {
     let now = Instant::now();
     let mut first = crashed(3, now);
     let mut second = Advisories::default();
     let later = now + LIFETIME / 2;
     second.merge(&first.take_updates(8, later), later);
-    assert_eq!(second.quarantine(CONTENT, later), Some(LIFETIME / 2));
+    assert_eq!(
+        second.quarantine_remaining(CONTENT, later),
+        Some(LIFETIME / 2)
+    );
 }
 
 // Guards against memory that grows with what is told, and against a flood that ends a quarantine.
 #[test]
-fn a_flood_of_facts_is_bounded() {
+fn fact_set_is_bounded() {
     let now = Instant::now();
     let mut known = crashed(3, now);
     for content in 100..100 + 3 * CAPACITY as u64 {
@@ -208,35 +217,35 @@
     assert_eq!(known.len(), CAPACITY);
     assert!(
         known
-            .quarantine(CONTENT, now + Duration::from_secs(10))
+            .quarantine_remaining(CONTENT, now + Duration::from_secs(10))
             .is_some()
     );
 }
 
 #[test]
-fn what_is_too_old_is_not_believed() {
+fn expired_facts_are_ignored() {
     let now = Instant::now();
     let mut known = Advisories::default();
     for age_ms in [LIFETIME.as_millis() as u32, u32::MAX] {
-        let told = Advisory {
+        let sent = Advisory {
             age_ms,
             fact: crash(CONTENT, 1),
         };
-        assert!(known.merge(&[told], now).is_empty());
+        assert!(known.merge(&[sent], now).is_empty());
     }
     assert!(known.is_empty());
 }
 
 #[test]
-fn an_update_is_repeated_a_few_times() {
+fn updates_are_repeated_up_to_the_limit() {
     let now = Instant::now();
     let mut known = crashed(3, now);
-    let told: Vec<_> = (0..5).map(|_| known.take_updates(8, now).len()).collect();
-    assert_eq!(told, [3, 3, 3, 0, 0]);
+    let sent: Vec<_> = (0..5).map(|_| known.take_updates(8, now).len()).collect();
+    assert_eq!(sent, [3, 3, 3, 0, 0]);
 }
 
 #[test]
-fn more_crashes_are_not_told() {
+fn crashes_beyond_the_threshold_are_not_propagated() {
     let now = Instant::now();
     let mut known = crashed(20, now);
     assert_eq!(known.len(), QUARANTINE_CRASHES);
@@ -255,7 +264,7 @@
     cursors: Cursors,
     incarnation: u64,
     known: Advisories,
-    told: usize,
+    sent: usize,
 }
 
 impl Fleet {
@@ -271,30 +280,32 @@
     /// Each daemon asks one hub that it reaches; one exchange in ten is lost on its way back.
     fn round(&mut self, reaches: impl Fn(usize, usize) -> bool) {
         self.now += Duration::from_millis(200);
-        for asker in 0..self.daemons.len() {
+        for requester in 0..self.daemons.len() {
             let hubs = [0, 1].into_iter();
             let hubs: Vec<_> = hubs
-                .filter(|hub| *hub != asker && reaches(asker, *hub))
+                .filter(|hub| *hub != requester && reaches(requester, *hub))
                 .collect();
             if let Some(hub) = hubs.choose(&mut self.rng).copied() {
                 let is_lost = self.rng.random_bool(0.1);
-                self.ask(asker, hub, is_lost);
+                self.ask(requester, hub, is_lost);
             }
         }
     }
 
-    fn ask(&mut self, asker: usize, hub: usize, is_lost: bool) {
+    fn ask(&mut self, requester: usize, hub: usize, is_lost: bool) {
         let name = format!("vm-{hub}");
         let now = self.now;
-        let daemon = &mut self.daemons[asker];
+        let daemon = &mut self.daemons[requester];
         let pull = daemon.cursors.pull(&name, &daemon.known, now);
-        daemon.told += pull.pushed.len();
+        daemon.sent += pull.pushed.len();
         let hub = &mut self.daemons[hub];
         let (page, _) = sync::answer(&pull, &mut hub.known, hub.incarnation, now);
-        hub.told += page.advisories.len();
+        hub.sent += page.advisories.len();
         if !is_lost {
-            let daemon = &mut self.daemons[asker];
-            daemon.cursors.take(&name, &page, &mut daemon.known, now);
+            let daemon = &mut self.daemons[requester];
+            daemon
+                .cursors
+                .merge_page(&name, &page, &mut daemon.known, now);
         }
     }
 
@@ -311,10 +322,15 @@
         self.daemons[daemon].known.note(crash(CONTENT, target), now);
     }
 
-    fn knowing(&self) -> usize {
+    fn quarantined_count(&self) -> usize {
         let daemons = self.daemons.values();
-        let knows = |daemon: &&Daemon| daemon.known.quarantine(CONTENT, self.now).is_some();
-        daemons.filter(knows).count()
+        let is_quarantined = |daemon: &&Daemon| {
+            daemon
+                .known
+                .quarantine_remaining(CONTENT, self.now)
+                .is_some()
+        };
+        daemons.filter(is_quarantined).count()
     }
 }
 
@@ -323,7 +339,7 @@
 
 // Guards against a crash that stays with the daemon that saw it: each of three saw one.
 #[test]
-fn crashes_seen_apart_reach_all_daemons() {
+fn crashes_seen_by_different_daemons_reach_all() {
     for (daemons, seed) in [(3, 1), (7, 2), (91, 3), (700, 4)] {
         let mut fleet = Fleet::new(daemons, seed);
         for target in 0..3 {
@@ -332,20 +348,20 @@
         for _ in 0..ROUNDS {
             fleet.round(|_, _| true);
         }
-        assert_eq!(fleet.knowing(), daemons);
-        let told: usize = fleet.daemons.values().map(|daemon| daemon.told).sum();
-        assert!(told <= 20 * daemons, "{told} facts told among {daemons}");
-        let before = told;
+        assert_eq!(fleet.quarantined_count(), daemons);
+        let sent: usize = fleet.daemons.values().map(|daemon| daemon.sent).sum();
+        assert!(sent <= 20 * daemons, "{sent} facts told among {daemons}");
+        let before = sent;
         fleet.round(|_, _| true);
         fleet.round(|_, _| true);
-        let told: usize = fleet.daemons.values().map(|daemon| daemon.told).sum();
-        assert_eq!(told, before, "nothing new, nothing told");
+        let sent: usize = fleet.daemons.values().map(|daemon| daemon.sent).sum();
+        assert_eq!(sent, before, "nothing new, nothing told");
     }
 }
 
 // Guards against a quarantine that is lost with the daemons that were asked, or with a restart.
 #[test]
-fn a_quarantine_outlives_restarts() {
+fn quarantine_survives_restarts() {
     let mut fleet = Fleet::new(7, 5);
     for target in 0..3 {
         fleet.note(4, target);
@@ -359,12 +375,12 @@
     for _ in 0..ROUNDS {
         fleet.round(|_, _| true);
     }
-    assert_eq!(fleet.knowing(), 7);
+    assert_eq!(fleet.quarantined_count(), 7);
 }
 
 // Guards against a partition whose sides each know a part of the crashes for ever.
 #[test]
-fn both_sides_of_a_partition_meet() {
+fn partition_sides_converge_after_healing() {
     let mut fleet = Fleet::new(8, 6);
     let side = |daemon: usize| daemon % 2;
     for (daemon, target) in [(2, 1), (3, 2), (5, 3)] {
@@ -373,9 +389,9 @@
     for _ in 0..ROUNDS {
         fleet.round(|a, b| side(a) == side(b));
     }
-    assert_eq!(fleet.knowing(), 0);
+    assert_eq!(fleet.quarantined_count(), 0);
     for _ in 0..ROUNDS {
         fleet.round(|_, _| true);
     }
-    assert_eq!(fleet.knowing(), 8);
+    assert_eq!(fleet.quarantined_count(), 8);
 }
--- a/crates/lilaccrank/tests/suite/lease.rs
+++ b/crates/lilaccrank/tests/suite/lease.rs
@@ -8,7 +8,7 @@
 use futures::task::LocalSpawnExt;
 use lilaccrank::clock::Clock;
 use lilaccrank::lease::{
-    Attempt, Candidate, Guards, Held, Keeper, Lease, Renewal, Settings, Tenure,
+    Attempt, Candidate, GuardSource, Held, Keeper, Lease, LeaseHandle, Renewal, Settings,
 };
 use lilaccrank::paused_clock::PausedClock;
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -18,7 +18,7 @@
 
 const KEY: &str = "leases/orders";
 
-type Holding = Lease<Held, FakeStore, PausedClock>;
+type HeldLease = Lease<Held, FakeStore, PausedClock>;
 
 fn candidate(
     holder: &str,
@@ -34,14 +34,14 @@
     )
 }
 
-fn acquire(holder: &str, store: &FakeStore, clock: &PausedClock) -> Holding {
+fn acquire(holder: &str, store: &FakeStore, clock: &PausedClock) -> HeldLease {
     match executor::block_on(candidate(holder, store, clock).attempt()) {
         Attempt::Held(held) => held,
         Attempt::Wait(..) => panic!("{holder} has to wait"),
     }
 }
 
-fn renew(held: Holding) -> Holding {
+fn renew(held: HeldLease) -> HeldLease {
     match executor::block_on(held.renew()) {
         Renewal::Held(held) => held,
         Renewal::Lost(lost) => panic!("lost: {}", lost.reason()),
@@ -51,23 +51,23 @@
 // The write that took the lease had effect, but its answer was lost. Without reading back, the
 // holder would take itself for beaten, and nobody would give orders for a whole duration.
 #[test]
-fn lost_answer_to_taking_is_resolved_by_reading_back() {
+fn lost_answer_to_acquiring_is_resolved_by_reading_back() {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     store.faults.lose_answer.set(true);
-    let Attempt::Wait(again, _) = executor::block_on(candidate("a", &store, &clock).attempt())
+    let Attempt::Wait(retry, _) = executor::block_on(candidate("a", &store, &clock).attempt())
     else {
         panic!("no answer came");
     };
     clock.advance(Duration::from_secs(1));
-    let Attempt::Held(held) = executor::block_on(again.attempt()) else {
+    let Attempt::Held(held) = executor::block_on(retry.attempt()) else {
         panic!("the lease is its own");
     };
     let guard = held.guard().expect("held");
     assert_eq!(guard.fence, 1, "taken twice");
-    let left = held.until() - clock.now();
+    let remaining = held.expires_at() - clock.now();
     assert_eq!(
-        left,
+        remaining,
         Duration::from_secs(10 - 1 - 1),
         "its time counts from the first write"
     );
@@ -80,11 +80,11 @@
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     let held = acquire("a", &store, &clock);
-    let first_end = held.until();
+    let first_end = held.expires_at();
     clock.advance(Duration::from_secs(3));
     store.faults.lose_answer.set(true);
     let held = renew(renew(held));
-    assert_eq!(held.until(), first_end + Duration::from_secs(3));
+    assert_eq!(held.expires_at(), first_end + Duration::from_secs(3));
     assert_eq!(held.guard().expect("held").fence, 1);
 }
 
@@ -114,25 +114,25 @@
 // just started and has seen no number at all; with number 1 the target would refuse each order of
 // it, and of its successors, for good.
 #[test]
-fn number_after_a_wiped_store_is_above_the_earlier_ones() {
+fn fence_after_a_wiped_store_exceeds_earlier_ones() {
     let clock = PausedClock::new();
     clock.advance(Duration::from_secs(1_000));
     let before = acquire("a", &FakeStore::new(clock.clone()), &clock);
     clock.advance(Duration::from_secs(3));
     let after = acquire("b", &FakeStore::new(clock.clone()), &clock);
-    let fence = |held: &Holding| held.guard().expect("held").fence;
+    let fence = |held: &HeldLease| held.guard().expect("held").fence;
     assert!(fence(&after) > fence(&before));
 }
 
 // The duty moves to another daemon, and the first gives the lease up. From then on it must not
 // act, and the other takes the lease at once, not only when its time is over.
 #[test]
-fn keeper_that_is_stopped_lets_go() {
+fn stopped_keeper_releases_the_lease() {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     let mut pool = LocalPool::new();
     let keeper = Keeper::new(candidate("a", &store, &clock));
-    let tenure = keeper.tenure();
+    let handle = keeper.handle();
     let (stop, stopped) = oneshot::channel::<()>();
     let running = keeper.run_until(stopped.map(|_| ()));
     let running = pool
@@ -140,10 +140,10 @@
         .spawn_local_with_handle(running)
         .expect("the pool runs");
     pool.run_until_stalled();
-    assert_eq!(tenure.guard().expect("held").fence, 1);
+    assert_eq!(handle.guard().expect("held").fence, 1);
     stop.send(()).expect("the keeper runs");
     let keeper = pool.run_until(running);
-    assert!(tenure.guard().is_err(), "acts without the duty");
+    assert!(handle.guard().is_err(), "acts without the duty");
     let other = acquire("b", &store, &clock);
     assert_eq!(other.guard().expect("held").fence, 2);
     drop(keeper);
@@ -152,7 +152,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Advance(u16),
-    Away(bool),
+    StoreUnavailable(bool),
     DelayWrite(u16),
     LoseAnswer,
     Pause(u8),
@@ -164,8 +164,8 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let ms = u16::arbitrary(g) % 12_000;
         match u8::arbitrary(g) % 16 {
-            0 => Self::Away(true),
-            1 | 2 => Self::Away(false),
+            0 => Self::StoreUnavailable(true),
+            1 | 2 => Self::StoreUnavailable(false),
             3 => Self::DelayWrite(ms),
             4 => Self::LoseAnswer,
             5 => Self::Pause(u8::arbitrary(g) % 3),
@@ -177,26 +177,26 @@
 }
 
 /// Three keepers of one lease.
-struct Rivals {
+struct Keepers {
     clock: PausedClock,
     last: Option<(usize, u64)>,
     pool: LocalPool,
     processes: Vec<Process>,
     store: FakeStore,
-    tenures: Vec<Tenure<PausedClock>>,
+    handles: Vec<LeaseHandle<PausedClock>>,
 }
 
-impl Rivals {
+impl Keepers {
     fn new() -> Self {
         let clock = PausedClock::new();
         let store = FakeStore::new(clock.clone());
         let pool = LocalPool::new();
         let mut processes = Vec::new();
-        let mut tenures = Vec::new();
+        let mut handles = Vec::new();
         for holder in ["a", "b", "c"] {
             let keeper = Keeper::new(candidate(holder, &store, &clock));
             let process = Process::new();
-            tenures.push(keeper.tenure());
+            handles.push(keeper.handle());
             pool.spawner()
                 .spawn_local(process.clone().run(keeper.run()))
                 .expect("the pool runs");
@@ -208,7 +208,7 @@
             pool,
             processes,
             store,
-            tenures,
+            handles,
         }
     }
 
@@ -216,27 +216,27 @@
         let faults = &self.store.faults;
         match event {
             Event::Advance(ms) => return self.advance(ms),
-            Event::Away(away) => faults.away.set(away),
+            Event::StoreUnavailable(away) => faults.away.set(away),
             Event::DelayWrite(ms) => faults.delay_write.set(Some(millis(ms))),
             Event::LoseAnswer => faults.lose_answer.set(true),
             Event::Pause(index) => self.processes[usize::from(index)].set(Power::Frozen),
             Event::Resume(index) => self.processes[usize::from(index)].set(Power::Running),
             Event::SlowAnswer(ms) => faults.slow_answer.set(Some(millis(ms))),
         }
-        self.holds()
+        self.is_consistent()
     }
 
     fn advance(&mut self, ms: u16) -> bool {
         (0..=ms / 250).all(|_| {
             self.clock.advance(millis(250));
-            self.holds()
+            self.is_consistent()
         })
     }
 
     /// At most one rival may act, and the number grows with each change of holder.
-    fn holds(&mut self) -> bool {
+    fn is_consistent(&mut self) -> bool {
         self.pool.run_until_stalled();
-        let fences = self.tenures.iter().map(|tenure| tenure.guard().ok());
+        let fences = self.handles.iter().map(|handle| handle.guard().ok());
         let acting: Vec<_> = fences
             .enumerate()
             .filter_map(|(index, guard)| Some((index, guard?.fence)))
@@ -260,19 +260,19 @@
     // Whatever is paused, lost, late or away: two holders at once would give a target opposite
     // orders, and each would take the other's for its own.
     fn never_two_holders(events: Vec<Event>) -> bool {
-        let mut rivals = Rivals::new();
-        events.into_iter().all(|event| rivals.apply(event))
+        let mut keepers = Keepers::new();
+        events.into_iter().all(|event| keepers.apply(event))
     }
 
     // After all faults the lease is held again, or targets would stay as they are for ever.
-    fn held_again_after_the_faults(events: Vec<Event>) -> bool {
-        let mut rivals = Rivals::new();
+    fn lease_is_held_again_after_faults(events: Vec<Event>) -> bool {
+        let mut keepers = Keepers::new();
         for event in events {
-            rivals.apply(event);
+            keepers.apply(event);
         }
-        rivals.apply(Event::Away(false));
-        (0..3).for_each(|index| { rivals.apply(Event::Resume(index)); });
-        (0..6).for_each(|_| { rivals.advance(10_000); });
-        rivals.tenures.iter().any(|tenure| tenure.guard().is_ok())
+        keepers.apply(Event::StoreUnavailable(false));
+        (0..3).for_each(|index| { keepers.apply(Event::Resume(index)); });
+        (0..6).for_each(|_| { keepers.advance(10_000); });
+        keepers.handles.iter().any(|handle| handle.guard().is_ok())
     }
 }
--- a/crates/lilaccrank/tests/suite/orders.rs
+++ b/crates/lilaccrank/tests/suite/orders.rs
@@ -9,7 +9,7 @@
 use lilaccrank::clock::Clock;
 use lilaccrank::document::Fencing;
 use lilaccrank::ids::TargetId;
-use lilaccrank::lease::{Error, Guard, Guards, Result};
+use lilaccrank::lease::{Error, Guard, GuardSource, Result};
 use lilaccrank::orders::{self, Addressee, Command, Order, Orders, Role, Settings, Targets};
 use lilaccrank::paused_clock::PausedClock;
 
@@ -58,9 +58,9 @@
     guard: Guard,
 }
 
-impl Guards for FakeLease {
+impl GuardSource for FakeLease {
     fn guard(&self) -> Result<Guard> {
-        if self.clock.now() >= self.guard.until {
+        if self.clock.now() >= self.guard.expires_at {
             return Err(Error::NotHeld("orders".to_owned()));
         }
         Ok(Guard {
@@ -108,16 +108,16 @@
         self.clock.now() - Duration::from_secs(60)
     }
 
-    fn holder(&self, fence: u64, until: Instant, earlier_ended: Instant) -> Giver {
+    fn holder(&self, fence: u64, expires_at: Instant, predecessor_expired_at: Instant) -> Giver {
         let number = Rc::new(Cell::new(fence));
         self.fence.replace(Rc::clone(&number));
         let lease = FakeLease {
             clock: self.clock.clone(),
             fence: number,
             guard: Guard {
-                earlier_ended,
+                predecessor_expired_at,
                 fence,
-                until,
+                expires_at,
             },
         };
         let cfg = Settings::default();
--- a/crates/lilaccrank/tests/suite/quota.rs
+++ b/crates/lilaccrank/tests/suite/quota.rs
@@ -5,18 +5,20 @@
 use lilaccrank::document::Quota;
 use lilaccrank::quota::Quotas;
 
-use crate::quota_harness::{CUSTOMER, Fleet, QUOTA, REVIEW, TOLD_EVERY, WINDOW, allowed};
+use crate::quota_harness::{
+    CUSTOMER, Fleet, QUOTA, REPORT_INTERVAL, REQUEST_TOKENS, WINDOW, allowed,
+};
 
 // A large customer sends three times its quota to seven daemons. Each of them alone sees less than
 // the quota; with a bucket of its own each would let all of it pass. Hearing of each other they
 // let pass what the quota says, and not much less: what is refused below it is lost to the
 // customer.
 #[test]
-fn a_fleet_lets_pass_what_one_daemon_would() {
+fn fleet_passes_the_quota_of_one_daemon() {
     let mut fleet = Fleet::new(7);
-    fleet.press(Duration::from_secs(12), |_, _| true);
-    let most = fleet.most_in(WINDOW) as f64;
-    assert!(most <= allowed(WINDOW) * 1.02, "{most}");
+    fleet.apply_load(Duration::from_secs(12), |_, _| true);
+    let max_passed = fleet.max_passed_in(WINDOW) as f64;
+    assert!(max_passed <= allowed(WINDOW) * 1.02, "{max_passed}");
     let passed: u64 = fleet.passed.iter().map(|(_, units)| units).sum();
     let seconds = (fleet.now - fleet.start).as_secs_f64();
     assert!(passed as f64 >= QUOTA.per_s * (seconds - 1.0), "{passed}");
@@ -25,7 +27,7 @@
 // The naive way beside it: daemons that hear nothing and take the whole rate each let seven times
 // the quota pass. This is what the messages are for.
 #[test]
-fn buckets_of_their_own_let_a_multiple_pass() {
+fn independent_buckets_pass_a_multiple() {
     let mut alone: Vec<Quotas> = (0..7).map(|_| Quotas::new(0, Instant::now())).collect();
     let mut now = Instant::now() + Duration::from_secs(1);
     let mut passed = 0;
@@ -33,9 +35,9 @@
         now += Duration::from_millis(10);
         let daemon = &mut alone[step % 7];
         for _ in 0..3 {
-            let wish = Fleet::wish(0, REVIEW);
-            let spent = daemon.spend(&CUSTOMER.to_owned(), QUOTA, wish, now);
-            passed += u64::from(spent.is_ok()) * REVIEW;
+            let debit = Fleet::debit(0, REQUEST_TOKENS);
+            let spent = daemon.spend(&CUSTOMER.to_owned(), QUOTA, debit, now);
+            passed += u64::from(spent.is_ok()) * REQUEST_TOKENS;
         }
     }
     assert!(passed as f64 > 1.7 * (QUOTA.per_s * 7.0), "{passed}");
@@ -45,31 +47,31 @@
 // on both sides. Neither side can know what the other lets pass; each takes its own part only.
 // Together with the time before and after they stay within the quota and the burst of a restart.
 #[test]
-fn both_sides_of_a_cut_stay_within_their_parts() {
+fn both_sides_of_a_partition_stay_within_their_shares() {
     let mut fleet = Fleet::new(7);
-    fleet.press(Duration::from_secs(5), |_, _| true);
+    fleet.apply_load(Duration::from_secs(5), |_, _| true);
     let side = |daemon: usize| daemon < 3;
-    fleet.press(Duration::from_secs(6), |from, to| side(from) == side(to));
-    fleet.press(Duration::from_secs(5), |_, _| true);
-    let most = fleet.most_in(WINDOW) as f64;
-    assert!(most <= allowed(WINDOW) * 1.1, "{most}");
+    fleet.apply_load(Duration::from_secs(6), |from, to| side(from) == side(to));
+    fleet.apply_load(Duration::from_secs(5), |_, _| true);
+    let max_passed = fleet.max_passed_in(WINDOW) as f64;
+    assert!(max_passed <= allowed(WINDOW) * 1.1, "{max_passed}");
 }
 
 // A daemon that is cut off alone goes on serving its part: its callers are not turned away for a
 // cut that is not theirs.
 #[test]
-fn a_daemon_that_is_cut_off_serves_its_part() {
+fn isolated_daemon_serves_its_share() {
     let mut fleet = Fleet::new(7);
-    fleet.press(Duration::from_secs(3), |_, _| true);
+    fleet.apply_load(Duration::from_secs(3), |_, _| true);
     let before = fleet.passed.len();
-    fleet.press(Duration::from_secs(5), |from, to| from != 0 && to != 0);
+    fleet.apply_load(Duration::from_secs(5), |from, to| from != 0 && to != 0);
     let cut_off = fleet.passed.len() - before;
     assert!(cut_off > 0);
     let mut alone = 0;
     for _ in 0..50 {
         fleet.now += Duration::from_millis(100);
-        fleet.daemons[0].look(fleet.now);
-        alone += u64::from(fleet.spend(0, Fleet::wish(0, REVIEW))) * REVIEW;
+        fleet.daemons[0].tick(fleet.now);
+        alone += u64::from(fleet.spend(0, Fleet::debit(0, REQUEST_TOKENS))) * REQUEST_TOKENS;
     }
     let part = QUOTA.per_s * 5.0 / 7.0;
     assert!(
@@ -81,16 +83,16 @@
 // A machine stands still for four seconds while the others spend the whole quota. When it wakes
 // it has heard none of that; filled up for the time, it would let a whole burst pass on top.
 #[test]
-fn a_daemon_that_stood_still_fills_nothing_up() {
+fn paused_daemon_does_not_refill() {
     let mut fleet = Fleet::new(7);
-    fleet.press(Duration::from_secs(4), |_, _| true);
-    fleet.press(Duration::from_secs(4), |from, to| from != 0 && to != 0);
+    fleet.apply_load(Duration::from_secs(4), |_, _| true);
+    fleet.apply_load(Duration::from_secs(4), |from, to| from != 0 && to != 0);
     let mut at_once = 0;
-    while fleet.spend(0, Fleet::wish(0, REVIEW)) {
-        at_once += REVIEW;
+    while fleet.spend(0, Fleet::debit(0, REQUEST_TOKENS)) {
+        at_once += REQUEST_TOKENS;
     }
     assert!(
-        (at_once as f64) < QUOTA.burst / 7.0 + REVIEW as f64,
+        (at_once as f64) < QUOTA.burst / 7.0 + REQUEST_TOKENS as f64,
         "{at_once}"
     );
 }
@@ -98,31 +100,31 @@
 // One datagram in three is lost. Counts are told as sums since the start, so that the next
 // datagram makes good what the lost one would have told.
 #[test]
-fn lost_messages_are_made_good() {
+fn lost_messages_are_compensated() {
     let mut fleet = Fleet::new(7);
-    let drawn = std::cell::Cell::new(1_u32);
-    fleet.press(Duration::from_secs(12), |_, _| {
-        drawn.set(
-            drawn
+    let rng_state = std::cell::Cell::new(1_u32);
+    fleet.apply_load(Duration::from_secs(12), |_, _| {
+        rng_state.set(
+            rng_state
                 .get()
                 .wrapping_mul(1_664_525)
                 .wrapping_add(1_013_904_223),
         );
-        !(drawn.get() >> 16).is_multiple_of(3)
+        !(rng_state.get() >> 16).is_multiple_of(3)
     });
-    let most = fleet.most_in(WINDOW) as f64;
-    assert!(most <= allowed(WINDOW) * 1.03, "{most}");
+    let max_passed = fleet.max_passed_in(WINDOW) as f64;
+    assert!(max_passed <= allowed(WINDOW) * 1.03, "{max_passed}");
 }
 
 // All daemons are killed and started at once while a customer presses. New lives know nothing; a
 // full bucket each would be seven bursts at once.
 #[test]
-fn new_lives_start_with_little() {
+fn restarted_daemons_start_with_empty_buckets() {
     let mut fleet = Fleet::new(7);
     let mut at_once = 0;
     for at in 0..7 {
-        while fleet.spend(at, Fleet::wish(0, REVIEW)) {
-            at_once += REVIEW;
+        while fleet.spend(at, Fleet::debit(0, REQUEST_TOKENS)) {
+            at_once += REQUEST_TOKENS;
         }
     }
     assert_eq!(at_once, 0);
@@ -130,7 +132,7 @@
 
 /// What is left in the bucket, as a part of the burst, and whether a request passes.
 macro_rules! tiers {
-    ($name:ident, $left:literal, $tier:literal, $units:literal, $passes:literal) => {
+    ($name:ident, $balance:literal, $tier:literal, $units:literal, $passes:literal) => {
         #[test]
         fn $name() {
             let mut quotas = Quotas::new(0, Instant::now());
@@ -138,13 +140,13 @@
             // Fills the bucket, then takes out all but what is to be left.
             for _ in 0..4 {
                 now += Duration::from_millis(500);
-                quotas.look(now);
+                quotas.tick(now);
             }
-            let taken = Fleet::wish(0, (QUOTA.burst * (1.0 - $left)) as u64);
+            let taken = Fleet::debit(0, (QUOTA.burst * (1.0 - $balance)) as u64);
             let customer = CUSTOMER.to_owned();
             quotas.spend(&customer, QUOTA, taken, now).unwrap();
-            let wish = Fleet::wish($tier, $units);
-            assert_eq!(quotas.spend(&customer, QUOTA, wish, now).is_ok(), $passes);
+            let debit = Fleet::debit($tier, $units);
+            assert_eq!(quotas.spend(&customer, QUOTA, debit, now).is_ok(), $passes);
         }
     };
 }
@@ -152,21 +154,21 @@
 // A customer at its limit asks for reviews and chats at once. In the order of their coming its
 // reviews would be refused for chats; so the last tiers leave a part to those before them. What
 // is small takes nothing noticeable from the others and passes.
-tiers!(urgent_takes_what_is_left, 0.1, 0, 3_000, true);
-tiers!(bulk_leaves_a_part_to_urgent, 0.6, 2, 3_000, false);
-tiers!(bulk_passes_while_there_is_plenty, 0.9, 2, 3_000, true);
-tiers!(the_middle_leaves_a_third, 0.3, 1, 3_000, false);
-tiers!(the_middle_passes_before_bulk, 0.5, 1, 3_000, true);
-tiers!(small_requests_pass_with_urgent, 0.1, 2, 200, true);
+tiers!(first_tier_may_empty_the_bucket, 0.1, 0, 3_000, true);
+tiers!(last_tier_leaves_its_headroom, 0.6, 2, 3_000, false);
+tiers!(last_tier_passes_above_its_headroom, 0.9, 2, 3_000, true);
+tiers!(middle_tier_leaves_its_headroom, 0.3, 1, 3_000, false);
+tiers!(middle_tier_passes_above_its_headroom, 0.5, 1, 3_000, true);
+tiers!(small_requests_need_no_headroom, 0.1, 2, 200, true);
 
 // A request is let pass and then refused for another reason. It did not run: the customer gets
 // back what it took.
 #[test]
-fn what_did_not_run_is_given_back() {
+fn units_that_did_not_run_are_refunded() {
     let mut quotas = Quotas::new(0, Instant::now());
     let now = Instant::now() + Duration::from_millis(500);
     let customer = CUSTOMER.to_owned();
-    let all = Fleet::wish(0, 48_000);
+    let all = Fleet::debit(0, 48_000);
     quotas.spend(&customer, QUOTA, all, now).unwrap();
     let refused = quotas.spend(&customer, QUOTA, all, now).unwrap_err();
     assert!(refused.retry_after > Duration::from_millis(400));
@@ -178,67 +180,70 @@
 // gives back what it took, and the others hear of it; if they did not, a customer would be
 // refused for requests that never ran, at all daemons but one.
 #[test]
-fn what_is_given_back_is_told() {
+fn refunds_are_reported() {
     let mut fleet = Fleet::new(7);
     let steps = 600;
     for step in 0..steps {
         for turn in 0..4 {
             let at = (step + turn) % 7;
-            if fleet.spend(at, Fleet::wish(0, REVIEW)) && turn % 2 == 0 {
+            if fleet.spend(at, Fleet::debit(0, REQUEST_TOKENS)) && turn % 2 == 0 {
                 fleet.refund(at);
             }
         }
-        fleet.tell(|_, _| true);
-        fleet.now += TOLD_EVERY;
+        fleet.exchange_reports(|_, _| true);
+        fleet.now += REPORT_INTERVAL;
     }
     let passed: u64 = fleet.passed.iter().map(|(_, units)| units).sum();
     let seconds = (fleet.now - fleet.start).as_secs_f64();
     assert!(passed as f64 >= QUOTA.per_s * (seconds - 1.0), "{passed}");
-    let most = fleet.most_in(WINDOW) as f64;
-    assert!(most <= allowed(WINDOW) * 1.02, "{most}");
+    let max_passed = fleet.max_passed_in(WINDOW) as f64;
+    assert!(max_passed <= allowed(WINDOW) * 1.02, "{max_passed}");
 }
 
 // An older datagram overtaken by a newer one tells less than what is known. It takes nothing
 // back, and the next one doesn't count again what was counted.
 #[test]
-fn a_message_that_comes_late_counts_nothing_twice() {
+fn late_message_is_not_counted_twice() {
     let start = Instant::now();
     let now = start + Duration::from_secs(1);
     let customer = CUSTOMER.to_owned();
-    let mut teller = Quotas::new(1, start);
-    let mut hearer = Quotas::new(1, start);
-    let mut told = vec![teller.spent(now)];
+    let mut sender = Quotas::new(1, start);
+    let mut receiver = Quotas::new(1, start);
+    let mut reports = vec![sender.spent(now)];
     for _ in 0..3 {
-        teller
-            .spend(&customer, QUOTA, Fleet::wish(0, 10_000), now)
+        sender
+            .spend(&customer, QUOTA, Fleet::debit(0, 10_000), now)
             .unwrap();
-        told.push(teller.spent(now));
+        reports.push(sender.spent(now));
     }
-    hearer.heard(&"vm0".to_owned(), 1, &told[0], now);
+    receiver.merge_spent(&"vm0".to_owned(), 1, &reports[0], now);
     // The hearer knows the customer, and has half a bucket left.
-    hearer
-        .spend(&customer, QUOTA, Fleet::wish(0, 1), now)
+    receiver
+        .spend(&customer, QUOTA, Fleet::debit(0, 1), now)
         .unwrap();
     for at in [1, 3, 2, 3, 2, 3] {
-        hearer.heard(&"vm0".to_owned(), 1, &told[at], now);
+        receiver.merge_spent(&"vm0".to_owned(), 1, &reports[at], now);
     }
     assert!(
-        hearer
-            .spend(&customer, QUOTA, Fleet::wish(0, 75_000), now)
+        receiver
+            .spend(&customer, QUOTA, Fleet::debit(0, 75_000), now)
             .is_ok()
     );
 }
 
 // The reserve is no further quota: a surge on all cells takes it once, and the rate after that.
 #[test]
-fn the_reserve_passes_once() {
+fn reserve_is_spent_once() {
     let mut fleet = Fleet::new(7);
     for daemon in &mut fleet.daemons {
         *daemon = Quotas::new(3, fleet.start).with_reserve(36_000.0);
     }
-    fleet.press(Duration::from_secs(24), |_, _| true);
-    let most = fleet.most_in(WINDOW) as f64;
-    assert!(most <= allowed(WINDOW) * 1.02 + 36_000.0, "{most}");
+    fleet.apply_load(Duration::from_secs(24), |_, _| true);
+    let max_passed = fleet.max_passed_in(WINDOW) as f64;
+    assert!(
+        max_passed <= allowed(WINDOW) * 1.02 + 36_000.0,
+        "{max_passed}"
+    );
     let passed: u64 = fleet.passed.iter().map(|(_, units)| units).sum();
     assert!(passed as f64 <= QUOTA.per_s * 25.0 + 36_000.0, "{passed}");
 }
@@ -246,7 +251,7 @@
 // A second after its start a bucket holds what a second fills. The last tier leaves its part of that
 // to the others, not its part of a bucket that was never full.
 #[test]
-fn a_young_bucket_serves_the_last_tier_too() {
+fn new_bucket_serves_the_last_tier() {
     let quota = Quota {
         burst: 10.0 * QUOTA.burst,
         ..QUOTA
@@ -254,8 +259,8 @@
     let start = Instant::now();
     let mut quotas = Quotas::new(0, start);
     let now = start + Duration::from_millis(900);
-    quotas.look(now);
-    let wish = Fleet::wish(2, 10 * REVIEW);
-    let spent = quotas.spend(&CUSTOMER.to_owned(), quota, wish, now);
+    quotas.tick(now);
+    let debit = Fleet::debit(2, 10 * REQUEST_TOKENS);
+    let spent = quotas.spend(&CUSTOMER.to_owned(), quota, debit, now);
     assert!(spent.is_ok());
 }
--- a/crates/lilaccrank/tests/suite/quota_fleet.rs
+++ b/crates/lilaccrank/tests/suite/quota_fleet.rs
@@ -5,18 +5,18 @@
 use lilaccrank::cells::Cell;
 use lilaccrank::document::{Quota, QuotaUnit};
 use lilaccrank::ids::VmId;
-use lilaccrank::quota::{Quotas, Wish};
+use lilaccrank::quota::{Debit, Quotas};
 
 const CUSTOMER: &str = "depot";
 const DAEMONS: usize = 300;
 /// Time between two messages to the cell.
 const STEP: Duration = Duration::from_millis(50);
 /// Time between two messages of a cell to all daemons.
-const PACE: Duration = Duration::from_millis(2_000);
+const CELL_REPORT_INTERVAL: Duration = Duration::from_millis(2_000);
 /// Time until a daemon that is cut off is no member any more, and knows no other one.
-const SUSPICION: Duration = Duration::from_secs(2);
+const SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Tokens of one request.
-const REQUEST: u64 = 3_000;
+const REQUEST_TOKENS: u64 = 3_000;
 const QUOTA: Quota = Quota {
     burst: 600_000.0,
     per_s: 600_000.0,
@@ -37,13 +37,13 @@
     cells: Vec<Vec<usize>>,
     daemons: Vec<Quotas>,
     /// Daemons that hear nobody and that nobody hears.
-    cut: Vec<bool>,
+    isolated: Vec<bool>,
     names: Vec<VmId>,
     now: Instant,
     passed: Vec<(Instant, u64)>,
-    random: u64,
+    rng_state: u64,
     /// Which daemons speak for their cells.
-    speaks: Vec<bool>,
+    is_speaker: Vec<bool>,
     step: usize,
 }
 
@@ -52,100 +52,104 @@
         let now = Instant::now();
         let new = |_| {
             let mut quotas = Quotas::new(3, now).with_reserve(RESERVE);
-            quotas.set_pace(PACE);
+            quotas.set_report_interval(CELL_REPORT_INTERVAL);
             quotas
         };
         let mut fleet = Self {
             cells: vec![Vec::new(); DAEMONS],
             daemons: (0..DAEMONS).map(new).collect(),
-            cut: vec![false; DAEMONS],
+            isolated: vec![false; DAEMONS],
             names: (0..DAEMONS).map(|at| format!("vm{at}")).collect(),
             now,
             passed: Vec::new(),
-            random: 7,
-            speaks: vec![false; DAEMONS],
+            rng_state: 7,
+            is_speaker: vec![false; DAEMONS],
             step: 0,
         };
-        fleet.divide();
+        fleet.assign_cells();
         fleet
     }
 
     /// Divides the fleet into cells, as each daemon sees its members.
-    fn divide(&mut self) {
+    fn assign_cells(&mut self) {
         for me in 0..DAEMONS {
-            let sees = |other: usize| other == me || !(self.cut[me] || self.cut[other]);
-            let seen: Vec<usize> = (0..DAEMONS).filter(|other| sees(*other)).collect();
-            let members = seen.iter().map(|at| &self.names[*at]);
+            let can_reach =
+                |other: usize| other == me || !(self.isolated[me] || self.isolated[other]);
+            let reachable: Vec<usize> = (0..DAEMONS).filter(|other| can_reach(*other)).collect();
+            let members = reachable.iter().map(|at| &self.names[*at]);
             let cell = Cell::new(members, &self.names[me]);
-            let live = seen.iter().map(|at| self.names[*at].clone()).collect();
+            let live = reachable.iter().map(|at| self.names[*at].clone()).collect();
             self.daemons[me].set_cell(cell.id(), cell.mates(), &live, self.now);
             let mates = cell.mates();
-            self.speaks[me] = cell.speaker(&self.names[me]) == &self.names[me];
+            self.is_speaker[me] = cell.speaker(&self.names[me]) == &self.names[me];
             let is_mate = |at: &usize| mates.contains(&self.names[*at]);
-            self.cells[me] = seen.into_iter().filter(is_mate).collect();
+            self.cells[me] = reachable.into_iter().filter(is_mate).collect();
         }
     }
 
-    fn draw(&mut self, below: usize) -> usize {
-        self.random = self
-            .random
+    fn random_below(&mut self, below: usize) -> usize {
+        self.rng_state = self
+            .rng_state
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
-        (self.random >> 33) as usize % below
+        (self.rng_state >> 33) as usize % below
     }
 
     /// `times` the quota is asked for `time`, at daemons drawn from all.
-    fn press(&mut self, time: Duration, times: f64) {
+    fn apply_load(&mut self, time: Duration, times: f64) {
         let until = self.now + time;
-        let each_step = QUOTA.per_s * times * STEP.as_secs_f64() / REQUEST as f64;
+        let each_step = QUOTA.per_s * times * STEP.as_secs_f64() / REQUEST_TOKENS as f64;
         while self.now < until {
             for _ in 0..each_step as usize {
-                let at = self.draw(DAEMONS);
-                let wish = Wish {
+                let at = self.random_below(DAEMONS);
+                let debit = Debit {
                     tier: 0,
-                    units: REQUEST,
+                    units: REQUEST_TOKENS,
                 };
-                let spent = self.daemons[at].spend(&CUSTOMER.to_owned(), QUOTA, wish, self.now);
+                let spent = self.daemons[at].spend(&CUSTOMER.to_owned(), QUOTA, debit, self.now);
                 if spent.is_ok() {
-                    self.passed.push((self.now, REQUEST));
+                    self.passed.push((self.now, REQUEST_TOKENS));
                 }
             }
-            self.tell();
+            self.exchange_reports();
             self.now += STEP;
             self.step += 1;
         }
     }
 
-    fn tell(&mut self) {
-        let steps_apart = (PACE.as_millis() / STEP.as_millis()) as usize;
-        for from in (0..DAEMONS).filter(|at| !self.cut[*at]).collect::<Vec<_>>() {
-            let news = self.daemons[from].news(self.now);
+    fn exchange_reports(&mut self) {
+        let steps_apart = (CELL_REPORT_INTERVAL.as_millis() / STEP.as_millis()) as usize;
+        for from in (0..DAEMONS)
+            .filter(|at| !self.isolated[*at])
+            .collect::<Vec<_>>()
+        {
+            let report = self.daemons[from].report(self.now);
             for to in self.cells[from].clone() {
-                if !self.cut[to] {
-                    self.daemons[to].heard(&self.names[from], 1, &news, self.now);
+                if !self.isolated[to] {
+                    self.daemons[to].merge_spent(&self.names[from], 1, &report, self.now);
                 }
             }
             if !(self.step + from * 31).is_multiple_of(steps_apart) {
                 continue;
             }
-            if !self.speaks[from] {
+            if !self.is_speaker[from] {
                 continue;
             }
             let demand = self.daemons[from].cell_demand(self.now);
             for to in (0..DAEMONS).filter(|to| *to != from) {
-                if !self.cut[to] {
-                    self.daemons[to].heard_cell(demand.clone(), self.now);
+                if !self.isolated[to] {
+                    self.daemons[to].merge_cell_demand(demand.clone(), self.now);
                 }
             }
         }
         for daemon in &mut self.daemons {
-            daemon.look(self.now);
+            daemon.tick(self.now);
         }
     }
 
     /// The most that passed in any window.
-    fn most(&self) -> u64 {
-        let mut most = 0;
+    fn max_passed(&self) -> u64 {
+        let mut max_passed = 0;
         let (mut sum, mut first) = (0, 0);
         for (at, units) in &self.passed {
             sum += units;
@@ -153,9 +157,9 @@
                 sum -= self.passed[first].1;
                 first += 1;
             }
-            most = most.max(sum);
+            max_passed = max_passed.max(sum);
         }
-        most
+        max_passed
     }
 
     fn passed_since(&self, since: Instant) -> u64 {
@@ -167,14 +171,14 @@
 // A customer that suddenly sends six times as much would pass a multiple of its quota until the cells hear of
 // each other's share.
 #[test]
-fn a_surge_on_all_daemons() {
+fn surge_on_all_daemons() {
     let mut fleet = Fleet::new();
-    fleet.press(Duration::from_secs(12), 0.5);
+    fleet.apply_load(Duration::from_secs(12), 0.5);
     let since = fleet.now;
-    fleet.press(Duration::from_secs(12), 3.0);
-    let most = fleet.most() as f64;
-    println!("most {:.3} of what is allowed", most / ALLOWED);
-    assert!(most <= ALLOWED, "{most} of {ALLOWED}");
+    fleet.apply_load(Duration::from_secs(12), 3.0);
+    let max_passed = fleet.max_passed() as f64;
+    println!("most {:.3} of what is allowed", max_passed / ALLOWED);
+    assert!(max_passed <= ALLOWED, "{max_passed} of {ALLOWED}");
     let passed = fleet.passed_since(since) as f64;
     assert!(passed >= QUOTA.per_s * 12.0 * 0.9, "{passed}");
 }
@@ -182,17 +186,17 @@
 // Daemons that are cut off would count on what the others asked before a surge, and each take a multiple of
 // its part.
 #[test]
-fn a_surge_while_a_third_is_cut_off() {
+fn surge_while_a_third_is_isolated() {
     let mut fleet = Fleet::new();
-    fleet.press(Duration::from_secs(12), 0.5);
+    fleet.apply_load(Duration::from_secs(12), 0.5);
     for at in (0..DAEMONS).filter(|at| at % 20 < 7) {
-        fleet.cut[at] = true;
+        fleet.isolated[at] = true;
     }
-    fleet.press(SUSPICION, 0.5);
-    fleet.divide();
-    fleet.press(Duration::from_secs(1), 0.5);
-    fleet.press(Duration::from_secs(10), 3.0);
-    let most = fleet.most() as f64;
-    println!("most {:.3} of what is allowed", most / ALLOWED);
-    assert!(most <= ALLOWED, "{most} of {ALLOWED}");
+    fleet.apply_load(SUSPICION_TIMEOUT, 0.5);
+    fleet.assign_cells();
+    fleet.apply_load(Duration::from_secs(1), 0.5);
+    fleet.apply_load(Duration::from_secs(10), 3.0);
+    let max_passed = fleet.max_passed() as f64;
+    println!("most {:.3} of what is allowed", max_passed / ALLOWED);
+    assert!(max_passed <= ALLOWED, "{max_passed} of {ALLOWED}");
 }
--- a/crates/lilaccrank/tests/suite/quota_harness.rs
+++ b/crates/lilaccrank/tests/suite/quota_harness.rs
@@ -3,13 +3,13 @@
 use std::time::{Duration, Instant};
 
 use lilaccrank::document::{Quota, QuotaUnit};
-use lilaccrank::quota::{Quotas, Wish};
+use lilaccrank::quota::{Debit, Quotas};
 
 pub const CUSTOMER: &str = "depot";
 /// Time between two messages of a daemon.
-pub const TOLD_EVERY: Duration = Duration::from_millis(20);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(20);
 /// Tokens of one request: a review of a contract.
-pub const REVIEW: u64 = 3_000;
+pub const REQUEST_TOKENS: u64 = 3_000;
 /// A hundred thousand tokens a second, and as many at once.
 pub const QUOTA: Quota = Quota {
     burst: 100_000.0,
@@ -37,8 +37,8 @@
         }
     }
 
-    pub fn wish(tier: u8, units: u64) -> Wish {
-        Wish { tier, units }
+    pub fn debit(tier: u8, units: u64) -> Debit {
+        Debit { tier, units }
     }
 
     /// Gives the last request that passed back at the daemon that let it pass.
@@ -47,21 +47,21 @@
         self.daemons[at].refund(&CUSTOMER.to_owned(), units, self.now);
     }
 
-    pub fn spend(&mut self, at: usize, wish: Wish) -> bool {
-        let spent = self.daemons[at].spend(&CUSTOMER.to_owned(), QUOTA, wish, self.now);
+    pub fn spend(&mut self, at: usize, debit: Debit) -> bool {
+        let spent = self.daemons[at].spend(&CUSTOMER.to_owned(), QUOTA, debit, self.now);
         if spent.is_ok() {
-            self.passed.push((self.now, wish.units));
+            self.passed.push((self.now, debit.units));
         }
         spent.is_ok()
     }
 
     /// Each daemon of `tellers` tells all those that `hears` lets it reach.
-    pub fn tell(&mut self, hears: impl Fn(usize, usize) -> bool) {
+    pub fn exchange_reports(&mut self, reaches: impl Fn(usize, usize) -> bool) {
         for from in 0..self.daemons.len() {
             let spent = self.daemons[from].spent(self.now);
             for to in (0..self.daemons.len()).filter(|to| *to != from) {
-                if hears(from, to) {
-                    self.daemons[to].heard(&format!("vm{from}"), 1, &spent, self.now);
+                if reaches(from, to) {
+                    self.daemons[to].merge_spent(&format!("vm{from}"), 1, &spent, self.now);
                 }
             }
         }
@@ -69,22 +69,22 @@
 
     /// Three times the quota comes for `time`, evenly over the daemons; each tells the others that
     /// `hears` lets it reach.
-    pub fn press(&mut self, time: Duration, hears: impl Fn(usize, usize) -> bool) {
+    pub fn apply_load(&mut self, time: Duration, reaches: impl Fn(usize, usize) -> bool) {
         let until = self.now + time;
         let mut at = 0;
         while self.now < until {
-            let coming = QUOTA.per_s * 3.0 * TOLD_EVERY.as_secs_f64();
-            for _ in 0..(coming / REVIEW as f64) as usize {
+            let units_per_step = QUOTA.per_s * 3.0 * REPORT_INTERVAL.as_secs_f64();
+            for _ in 0..(units_per_step / REQUEST_TOKENS as f64) as usize {
                 at = (at + 1) % self.daemons.len();
-                self.spend(at, Self::wish(0, REVIEW));
+                self.spend(at, Self::debit(0, REQUEST_TOKENS));
             }
-            self.tell(&hears);
-            self.now += TOLD_EVERY;
+            self.exchange_reports(&reaches);
+            self.now += REPORT_INTERVAL;
         }
     }
 
     /// The most that passed in any window of this length.
-    pub fn most_in(&self, window: Duration) -> u64 {
+    pub fn max_passed_in(&self, window: Duration) -> u64 {
         let starts = self.passed.iter().map(|(at, _)| *at);
         let in_window = |start: Instant| {
             let passed = self.passed.iter();
--- a/crates/lilaccrankd/src/orders/pool_orders.rs
+++ b/crates/lilaccrankd/src/orders/pool_orders.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use lilaccrank::document::Target;
 use lilaccrank::ids::{Incarnation, TargetId};
-use lilaccrank::lease::{self, Guards, Keeper, Lease, Tenure};
+use lilaccrank::lease::{self, GuardSource, Keeper, Lease, LeaseHandle};
 use lilaccrank::orders::{Addressee, Command, Error, Orders, Result};
 use lilaccrank_http::monoio_clock::MonoioClock;
 
@@ -35,9 +35,9 @@
     last_wanted: Cell<Instant>,
     life: Cell<Incarnation>,
     on_duty: Cell<bool>,
-    orders: Orders<MonoioClock, Tenure<MonoioClock>, TargetOrders>,
+    orders: Orders<MonoioClock, LeaseHandle<MonoioClock>, TargetOrders>,
     targets: Rc<RefCell<IndexMap<TargetId, Target>>>,
-    tenure: Tenure<MonoioClock>,
+    tenure: LeaseHandle<MonoioClock>,
     term: Cell<Term>,
     times: OrderTimes,
     /// Orders that need the lease now.
@@ -66,7 +66,7 @@
     pub fn start(key: String, holder: String, store: PlatformStore, times: OrderTimes) -> Rc<Self> {
         let lease = Lease::new(times.lease(), &*key, holder, store, MonoioClock);
         let keeper = Keeper::new(lease);
-        let tenure = keeper.tenure();
+        let tenure = keeper.handle();
         let targets = Rc::default();
         let answer_limit = times.orders().timeout;
         let port = TargetOrders::new(Rc::clone(&targets), answer_limit, tenure.clone());
--- a/crates/lilaccrankd/src/orders/target_orders.rs
+++ b/crates/lilaccrankd/src/orders/target_orders.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 use lilaccrank::document::Target;
 use lilaccrank::ids::TargetId;
-use lilaccrank::lease::{Fence, Tenure};
+use lilaccrank::lease::{Fence, LeaseHandle};
 use lilaccrank::orders::{Command, Error, Order, Result, Targets};
 use lilaccrank_http::body::{self, Body};
 use lilaccrank_http::client::Connection;
@@ -46,7 +46,7 @@
     /// Longest wait for an answer.
     head: Duration,
     targets: Rc<RefCell<IndexMap<TargetId, Target>>>,
-    tenure: Tenure<MonoioClock>,
+    tenure: LeaseHandle<MonoioClock>,
 }
 
 impl TargetOrders {
@@ -54,7 +54,7 @@
     pub fn new(
         targets: Rc<RefCell<IndexMap<TargetId, Target>>>,
         head: Duration,
-        tenure: Tenure<MonoioClock>,
+        tenure: LeaseHandle<MonoioClock>,
     ) -> Self {
         Self {
             head,
@@ -77,7 +77,7 @@
         // The process may have been paused while it connected, for longer than its lease. Only
         // the time between this look and the bytes leaving is not covered; see
         // docs/COORDINATION.md.
-        self.tenure.guard_at(order.fence)?;
+        self.tenure.guard_for(order.fence)?;
         let sent = connection.send(req, self.head).await;
         let res = sent.map_err(|_| Error::Unknown(target.clone()))?;
         let status = res.status();
--- a/crates/lilaccrankd/src/peers/advisories.rs
+++ b/crates/lilaccrankd/src/peers/advisories.rs
@@ -81,8 +81,16 @@
     pub fn recorded(&self, quarantines: &[(ContentDigest, Duration)], cell: &LoadExchange) {
         let now = Instant::now();
         for (content, age) in quarantines {
-            let is_known = self.known.borrow().quarantine(*content, now).is_some();
-            let is_new = !is_known && self.known.borrow_mut().note_recorded(*content, *age, now);
+            let is_known = self
+                .known
+                .borrow()
+                .quarantine_remaining(*content, now)
+                .is_some();
+            let is_new = !is_known
+                && self
+                    .known
+                    .borrow_mut()
+                    .note_stored_quarantine(*content, *age, now);
             if is_new {
                 self.propagate(&[Fact::Quarantined { content: *content }], cell);
             }
@@ -95,7 +103,7 @@
         if known.is_empty() {
             return None;
         }
-        known.quarantine(content(), Instant::now())
+        known.quarantine_remaining(content(), Instant::now())
     }
 
     /// Notes the rate limit that a target advertised with an answer.
@@ -128,7 +136,7 @@
         let new = {
             let mut known = self.known.borrow_mut();
             let mut cursors = self.cursors.borrow_mut();
-            cursors.take(vm, page, &mut known, Instant::now())
+            cursors.merge_page(vm, page, &mut known, Instant::now())
         };
         self.propagate(&new, cell);
     }
--- a/crates/lilaccrankd/src/request/quotas.rs
+++ b/crates/lilaccrankd/src/request/quotas.rs
@@ -9,7 +9,7 @@
 use lilaccrank::document::{Customer, Quota, QuotaUnit};
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::ids::{CustomerId, Incarnation, Tier, VmId};
-use lilaccrank::quota::{self, CellDemand, Spent, Wish};
+use lilaccrank::quota::{self, CellDemand, Debit, Spent};
 use lilaccrank::request::Facts;
 
 use crate::callers::refusal::{Refusal, Result};
@@ -67,20 +67,20 @@
         let tier = wanting.tier;
         let units = units(&quota, wanting.facts);
         let mut inner = self.inner.borrow_mut();
-        let wish = Wish { tier, units };
+        let wish = Debit { tier, units };
         let spent = inner.spend(&customer.id, quota, wish, Instant::now());
         let is_short = spent.map_err(|e| {
             log::info!(
                 customer = customer.id,
-                left:% = e.left.round(),
+                left:% = e.balance.round(),
                 max_tokens = wanting.facts.max_tokens,
-                part:% = e.part,
+                part:% = e.share,
                 prompt_tokens = wanting.facts.prompt_tokens,
                 request = wanting.request,
                 retry_ms = e.retry_after.as_millis() as u64,
                 tier,
                 units,
-                wanted:% = e.wanted.round();
+                wanted:% = e.required.round();
                 "beyond the quota"
             );
             // Who was refused together should not come back together.
@@ -101,9 +101,9 @@
         inner.refund(&charge.customer, charge.units, Instant::now());
     }
 
-    /// Has to be called often, see [`quota::Quotas::look`].
+    /// Has to be called often, see [`quota::Quotas::tick`].
     pub fn look(&self) {
-        self.inner.borrow_mut().look(Instant::now());
+        self.inner.borrow_mut().tick(Instant::now());
     }
 
     /// Sets the cell, and all daemons that are known to live.
@@ -114,13 +114,13 @@
 
     /// Sets the time between two words of another cell.
     pub fn set_pace(&self, pace: Duration) {
-        self.inner.borrow_mut().set_pace(pace);
+        self.inner.borrow_mut().set_report_interval(pace);
     }
 
     /// What the other daemons of the cell are to know by now.
     #[must_use]
     pub fn news(&self) -> Vec<(CustomerId, Spent)> {
-        self.inner.borrow_mut().news(Instant::now())
+        self.inner.borrow_mut().report(Instant::now())
     }
 
     /// What all daemons are to know of what is asked of this cell.
@@ -131,18 +131,20 @@
 
     /// Takes in what is asked of a cell.
     pub fn heard_cell(&self, demand: CellDemand<CustomerId>) {
-        self.inner.borrow_mut().heard_cell(demand, Instant::now());
+        self.inner
+            .borrow_mut()
+            .merge_cell_demand(demand, Instant::now());
     }
 
     /// Takes in what another daemon of the cell let pass.
     pub fn heard(&self, vm: &VmId, incarnation: Incarnation, spent: &[(CustomerId, Spent)]) {
         let mut inner = self.inner.borrow_mut();
-        inner.heard(vm, incarnation, spent, Instant::now());
+        inner.merge_spent(vm, incarnation, spent, Instant::now());
     }
 
     /// Another daemon ends.
     pub fn left(&self, vm: &VmId) {
-        self.inner.borrow_mut().left(vm);
+        self.inner.borrow_mut().remove_peer(vm);
     }
 }
 
