--- a/crates/lilaccrank/tests/suite/dispatch_inputs.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_inputs.rs
@@ -93,7 +93,7 @@
     seeded::check(300, holds as fn(Vec<ArbitraryDigest>, ArbitraryAsk) -> bool);
 }
 
-// Guards against a panic on impossible load reports, and on an answer longer than requested.
+// Guards against a panic on impossible load reports and on answers longer than requested.
 #[test]
 fn invalid_reports_of_a_target_are_tolerated() {
     fn holds(running: u32, waiting: u32, tokens: u32, step: u64) -> bool {
--- a/crates/lilaccrank/tests/suite/pool_model/engine.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/engine.rs
@@ -39,6 +39,7 @@
 
 /// An engine with its batch and its queue.
 pub struct Engine {
+    /// End of the current step, in milliseconds.
     busy_until: f64,
     spec: EngineSpec,
     /// Index of the engine in the pool.
@@ -58,6 +59,7 @@
     unreported_tokens: u32,
     reported_at: u64,
     has_first_token: bool,
+    /// Earliest time of the first token, in milliseconds.
     first_token_at: f64,
 }
 
