--- a/crates/lilaccrank/benches/decision.rs
+++ b/crates/lilaccrank/benches/decision.rs
@@ -62,7 +62,7 @@
             data_centre: DATA_CENTRE.to_owned(),
             incarnation: 1,
             lowest_tier: (TIERS - 1) as u8,
-            silence_floor: DEADLINE,
+            min_hang_timeout: DEADLINE,
             vm: "vm1".to_owned(),
             waiting_limit: 0,
         };
--- a/crates/lilaccrank/src/dispatch.rs
+++ b/crates/lilaccrank/src/dispatch.rs
@@ -21,28 +21,28 @@
 pub mod choice;
 mod deadline;
 mod delay;
+pub mod drain_rate;
 pub mod estimate;
 mod fair;
 mod grants;
 pub mod health;
+mod inflight;
 pub mod limits;
 pub mod message;
 mod overload;
-mod patience;
-mod pending;
 pub mod queue;
+mod queue_deadline;
 pub mod rate_limit;
 mod recovery;
 mod reports;
 pub mod reservation;
 pub mod sharing;
-pub mod shedding;
 mod state;
 pub mod status;
-pub mod steps;
+pub mod step_model;
 pub mod target;
 mod tiers;
-mod waits;
+mod wait_outcomes;
 pub mod work;
 
 use admission::Admission;
@@ -69,7 +69,7 @@
     pub lowest_tier: Tier,
     /// Shortest silence of a target with running requests that counts as a hang. Model engines
     /// produce tokens all the time, a plain service is silent while it works.
-    pub silence_floor: Duration,
+    pub min_hang_timeout: Duration,
     /// This daemon.
     pub vm: VmId,
     /// Most asks that wait; [`Dispatcher::set_targets`] sets it from the pool.
@@ -101,7 +101,7 @@
         let admission = self.state.borrow_mut().ask(ask, self.clock.now());
         let (id, rx) = match admission {
             Admission::Decided(verdict) => return verdict,
-            Admission::Waits(id, rx) => (id, rx),
+            Admission::Queued(id, rx) => (id, rx),
         };
         let mut guard = Guard {
             ask: number,
@@ -144,10 +144,10 @@
         self.set_targets_where(pool, |other| other == data_centre);
     }
 
-    /// Like [`set_targets`](Self::set_targets), for all data centres that are `near`.
-    pub fn set_targets_where(&self, pool: &Pool, near: impl Fn(&str) -> bool) {
+    /// Like [`set_targets`](Self::set_targets), for all data centres that are `is_near`.
+    pub fn set_targets_where(&self, pool: &Pool, is_near: impl Fn(&str) -> bool) {
         let now = self.clock.now();
-        self.state.borrow_mut().set_targets(pool, near, now);
+        self.state.borrow_mut().set_targets(pool, is_near, now);
     }
 
     /// Sets the cell's shares of the rates that targets advertise; all other targets have no limit.
@@ -199,14 +199,14 @@
 
     /// Whether something has changed since the last digest that decides where others send.
     #[must_use]
-    pub fn is_news_urgent(&self) -> bool {
-        self.state.borrow().is_news_urgent()
+    pub fn has_urgent_changes(&self) -> bool {
+        self.state.borrow().has_urgent_changes()
     }
 
     /// Takes in what another daemon has on the targets.
-    pub fn take_digest(&self, from: &VmId, digest: Digest) {
+    pub fn apply_digest(&self, from: &VmId, digest: Digest) {
         let now = self.clock.now();
-        self.state.borrow_mut().take_digest(from, digest, now);
+        self.state.borrow_mut().apply_digest(from, digest, now);
     }
 
     /// State for operators.
@@ -228,9 +228,9 @@
             let now = self.clock.now();
             let mut state = self.state.borrow_mut();
             state.check_handover(now);
-            state.expire(now);
-            state.lapse(now);
-            state.forget_silent_peers(now);
+            state.expire_waiting(now);
+            state.expire_grants(now);
+            state.expire_peers(now);
             state.check_health(now);
             state.dispatch(now);
         }
--- a/crates/lilaccrank/src/dispatch/admission.rs
+++ b/crates/lilaccrank/src/dispatch/admission.rs
@@ -4,8 +4,8 @@
 
 use futures::channel::oneshot;
 
-use super::choice::{self, Room};
-use super::limits::{self, Counted};
+use super::choice::{self, Occupancy};
+use super::limits::{self, CounterKey};
 use super::message::{Ask, AskNumber, Refuse, Unmeetable, Verdict};
 use super::state::{self, State, Waiter, WaiterId};
 use crate::error_kind::ErrorKind;
@@ -17,20 +17,20 @@
 /// Result of an ask.
 pub(super) enum Admission {
     Decided(Verdict),
-    Waits(WaiterId, oneshot::Receiver<Verdict>),
+    Queued(WaiterId, oneshot::Receiver<Verdict>),
 }
 
 impl State {
     /// Takes in an ask and decides what can be decided at once.
     pub(super) fn ask(&mut self, mut ask: Ask, now: Instant) -> Admission {
         ask.exclusions.truncate(EXCLUSIONS_LIMIT);
-        self.tiers.note(ask.tier, ask.objective, now);
+        self.tiers.record_request(ask.tier, ask.objective, now);
         ask.prefix.truncate(prompt::BLOCK_LIMIT);
         let waiting = self
             .waiting
             .get(&ask.request)
             .map(|waiting| waiting.ask.ask);
-        let granted = self.reservations.get(&ask.request).map(|held| held.ask);
+        let granted = self.active_grants.get(&ask.request).map(|grant| grant.ask);
         let newest = waiting.max(granted);
         if newest > Some(ask.ask) {
             return Admission::Decided(state::refuse(&ask, ErrorKind::Cancelled, None));
@@ -39,13 +39,13 @@
             return self.attach(&ask.request);
         }
         if granted == Some(ask.ask) {
-            return Admission::Decided(self.granted(&ask.request, ask.ask));
+            return Admission::Decided(self.grant_verdict(&ask.request, ask.ask));
         }
-        let counted = self.supersede(&ask.request, now);
-        match self.admit(&ask, counted, now) {
-            Ok(counted) => {
+        let counter_key = self.supersede(&ask.request, now);
+        match self.admit(&ask, counter_key, now) {
+            Ok(counter_key) => {
                 let request = ask.request.clone();
-                self.enqueue(ask, counted, now);
+                self.enqueue(ask, counter_key, now);
                 let admission = self.attach(&request);
                 // What finds an open target costs no place in the queue.
                 self.dispatch(now);
@@ -61,7 +61,11 @@
         if self.waiting.get(request).is_some_and(|w| w.ask.ask <= ask) {
             self.refuse(request, ErrorKind::Cancelled, None);
         }
-        if self.reservations.get(request).is_some_and(|r| r.ask <= ask) {
+        if self
+            .active_grants
+            .get(request)
+            .is_some_and(|r| r.ask <= ask)
+        {
             self.release(request, now);
         }
         self.dispatch(now);
@@ -89,60 +93,69 @@
                     .send(state::refuse(&waiting.ask, ErrorKind::Cancelled, None));
             }
         }
-        Admission::Waits(id, rx)
+        Admission::Queued(id, rx)
     }
 
     /// Ends the earlier ask of a request and keeps its place under the limits.
-    fn supersede(&mut self, request: &str, now: Instant) -> Option<Counted> {
-        let counted = match self.waiting.get_mut(request) {
-            Some(waiting) => waiting.counted.take(),
-            None => self.reservations.get_mut(request)?.counted.take(),
+    fn supersede(&mut self, request: &str, now: Instant) -> Option<CounterKey> {
+        let counter_key = match self.waiting.get_mut(request) {
+            Some(waiting) => waiting.counter_key.take(),
+            None => self.active_grants.get_mut(request)?.counter_key.take(),
         };
         self.refuse(request, ErrorKind::Cancelled, None);
         self.release(request, now);
-        counted
+        counter_key
     }
 
     fn admit(
         &mut self,
         ask: &Ask,
-        counted: Option<Counted>,
+        counter_key: Option<CounterKey>,
         now: Instant,
-    ) -> Result<Option<Counted>, Refuse> {
-        let refusal = self.judge(ask, now);
+    ) -> Result<Option<CounterKey>, Refuse> {
+        let refusal = self.check_feasibility(ask, now);
         if let Some(refusal) = refusal {
-            if let Some(counted) = counted {
-                self.limits.release(&counted);
+            if let Some(counter_key) = counter_key {
+                self.limits.release(&counter_key);
             }
             return Err(refusal);
         }
-        if counted.is_some() {
-            return Ok(counted);
+        if counter_key.is_some() {
+            return Ok(counter_key);
         }
-        self.limits.take(ask, now).map_err(|err| {
+        self.limits.acquire(ask, now).map_err(|err| {
             let limits::Error::Reached { retry_after } = err;
             state::refusal_of(ask, ErrorKind::RateLimited, Some(retry_after))
         })
     }
 
-    /// Whether an ask with an objective would most likely wait for nothing: see [`super::waits`].
+    /// Whether an ask with an objective would most likely wait for nothing: see [`super::wait_outcomes`].
     /// Those of the first tier always wait, since whatever comes free is theirs.
-    fn waits_in_vain(&self, ask: &Ask, now: Instant) -> bool {
-        if ask.objective.is_none() || ask.partial.is_some() || self.tiers.before(ask.tier) == 0 {
+    fn is_tier_starved(&self, ask: &Ask, now: Instant) -> bool {
+        if ask.objective.is_none()
+            || ask.partial.is_some()
+            || self.tiers.count_before(ask.tier) == 0
+        {
             return false;
         }
-        if !self.waits.are_vain(ask.tier, now) {
+        if !self.wait_outcomes.mostly_time_out(ask.tier, now) {
             return false;
         }
-        let one_waits = self
+        let has_waiter_in_tier = self
             .queue
-            .standings()
-            .any(|standing| standing.tier == ask.tier);
-        let wanted = self.wanted(ask, ask.deadline);
-        one_waits && !choice::any_open(&self.targets, &wanted, Room::of(&self.targets, now), now)
+            .priorities()
+            .any(|priority| priority.tier == ask.tier);
+        let needs = self.needs(ask, ask.deadline);
+        has_waiter_in_tier
+            && !choice::any_eligible(
+                &self.targets,
+                &needs,
+                Occupancy::of(&self.targets, now),
+                now,
+            )
     }
 
-    fn judge(&mut self, ask: &Ask, now: Instant) -> Option<Refuse> {
+    fn check_feasibility(&mut self, ask: &Ask, now: Instant) -> Option<Refuse> {
         if self.handover.is_some() {
             return None;
         }
@@ -151,17 +164,17 @@
             let retry = Some(self.drain.retry_after(0, 0.0, now));
             return Some(state::refusal_of(ask, ErrorKind::NoTarget, retry));
         }
-        let unmeetable = if self.is_hopeless(ask, now) {
-            Unmeetable::Hopeless
-        } else if self.waits_in_vain(ask, now) {
-            Unmeetable::WaitsInVain
+        let unmeetable = if self.is_infeasible(ask, now) {
+            Unmeetable::Infeasible
+        } else if self.is_tier_starved(ask, now) {
+            Unmeetable::TierStarved
         } else {
             return None;
         };
-        self.note_end(ask, false);
-        let standing = state::standing(ask);
-        let ahead = self.queue.ahead(standing, &ask.customer, ask.weight);
-        let retry = self.retry_behind(ahead, now);
+        self.record_outcome(ask, false);
+        let priority = state::priority(ask);
+        let work_ahead = self.queue.work_ahead(priority, &ask.customer, ask.weight);
+        let retry = self.retry_after_work(work_ahead, now);
         Some(state::refusal_of(ask, unmeetable, Some(retry)))
     }
 }
--- a/crates/lilaccrank/src/dispatch/affinity.rs
+++ b/crates/lilaccrank/src/dispatch/affinity.rs
@@ -14,21 +14,21 @@
 use crate::target_life::TargetLife;
 
 /// Most blocks believed of one target.
-const TARGET_BLOCKS: usize = 4096;
+const MAX_BLOCKS_PER_TARGET: usize = 4096;
 /// Most blocks believed of all targets together, which bounds the memory.
-const ALL_BLOCKS: usize = 1 << 18;
+const MAX_BLOCKS: usize = 1 << 18;
 
 /// Names a target by a number, which is cheaper to compare than its name.
-type Number = u32;
+type TargetIndex = u32;
 
 /// Blocks believed of one target, the least recently used first.
 #[derive(Debug, Default)]
-struct Belief {
+struct CacheModel {
     by_use: BTreeMap<u64, u64>,
     /// Events in the largest batch so far: what a lost batch can have held.
     largest_batch: usize,
     sequence: Option<u64>,
-    stamps: IndexMap<u64, u64>,
+    last_used: IndexMap<u64, u64>,
     target: TargetLife,
 }
 
@@ -44,154 +44,154 @@
 /// Beliefs about all targets of a pool.
 #[derive(Debug, Default)]
 pub struct Affinity {
-    beliefs: IndexMap<Number, Belief>,
-    holders: IndexMap<u64, Vec<Number>>,
-    next: Number,
-    numbers: IndexMap<TargetLife, Number>,
-    stamp: u64,
+    caches: IndexMap<TargetIndex, CacheModel>,
+    holders: IndexMap<u64, Vec<TargetIndex>>,
+    next_index: TargetIndex,
+    indices: IndexMap<TargetLife, TargetIndex>,
+    use_counter: u64,
 }
 
 impl Affinity {
     /// A request with this prefix was sent to a target.
-    pub fn sent(&mut self, target: &TargetLife, prefix: &[u64]) {
-        let number = self.number(target);
+    pub fn record_sent(&mut self, target: &TargetLife, prefix: &[u64]) {
+        let index = self.index(target);
         // The last block is stamped first: a prefix without its beginning has no use, so the
         // beginning has to be evicted last.
         for digest in prefix.iter().take(prompt::BLOCK_LIMIT).rev() {
-            self.store(number, *digest);
+            self.store(index, *digest);
         }
     }
 
     /// Takes in cache events; `sequence` numbers the batches of one target without gaps.
-    pub fn events(&mut self, target: &TargetLife, sequence: u64, events: &[CacheEvent]) {
-        let number = self.number(target);
-        let Some(belief) = self.beliefs.get_mut(&number) else {
+    pub fn apply_events(&mut self, target: &TargetLife, sequence: u64, events: &[CacheEvent]) {
+        let index = self.index(target);
+        let Some(cache) = self.caches.get_mut(&index) else {
             return;
         };
-        let last = belief.sequence;
+        let last = cache.sequence;
         if last.is_some_and(|last| sequence <= last) {
             return;
         }
-        belief.sequence = Some(sequence);
-        belief.largest_batch = belief.largest_batch.max(events.len());
+        cache.sequence = Some(sequence);
+        cache.largest_batch = cache.largest_batch.max(events.len());
         let missing = last.map_or(0, |last| sequence - last - 1);
         let missing = usize::try_from(missing).unwrap_or(usize::MAX);
-        let hidden = missing.saturating_mul(belief.largest_batch);
-        self.drop_oldest(number, hidden);
+        let max_lost_events = missing.saturating_mul(cache.largest_batch);
+        self.drop_oldest(index, max_lost_events);
         for event in events {
             match event {
-                CacheEvent::Cleared => self.clear(number),
-                CacheEvent::Evicted(digest) => self.drop_block(number, *digest),
-                CacheEvent::Stored(digest) => self.store(number, *digest),
+                CacheEvent::Cleared => self.clear(index),
+                CacheEvent::Evicted(digest) => self.drop_block(index, *digest),
+                CacheEvent::Stored(digest) => self.store(index, *digest),
             }
         }
     }
 
     /// Forgets a target.
     pub fn forget(&mut self, target: &TargetLife) {
-        if let Some(number) = self.numbers.swap_remove(target) {
-            self.clear(number);
-            self.beliefs.swap_remove(&number);
+        if let Some(index) = self.indices.swap_remove(target) {
+            self.clear(index);
+            self.caches.swap_remove(&index);
         }
     }
 
     /// Blocks from the start of the prefix that the target probably holds.
     #[must_use]
-    pub fn held(&self, target: &TargetLife, prefix: &[u64]) -> usize {
-        let Some(belief) = self.belief(target) else {
+    pub fn matched_blocks(&self, target: &TargetLife, prefix: &[u64]) -> usize {
+        let Some(cache) = self.cache(target) else {
             return 0;
         };
         // Blocks are evicted from the end of a chain, so that the held ones form a beginning.
         let prefix = &prefix[..prefix.len().min(prompt::BLOCK_LIMIT)];
-        prefix.partition_point(|digest| belief.stamps.contains_key(digest))
+        prefix.partition_point(|digest| cache.last_used.contains_key(digest))
     }
 
     /// Targets that hold the most of the prefix, at most `limit`.
     #[must_use]
     pub fn holders(&self, prefix: &[u64], limit: usize) -> Vec<Holder<'_>> {
-        let mut found: Vec<(Number, usize)> = Vec::new();
+        let mut found: Vec<(TargetIndex, usize)> = Vec::new();
         for (i, digest) in prefix.iter().take(prompt::BLOCK_LIMIT).enumerate().rev() {
-            let numbers = self.holders.get(digest).map_or(&[][..], Vec::as_slice);
+            let indices = self.holders.get(digest).map_or(&[][..], Vec::as_slice);
             // Who holds a longer beginning holds this one, so the same count is the same targets.
-            if numbers.len() == found.len() {
+            if indices.len() == found.len() {
                 continue;
             }
-            for number in numbers {
+            for index in indices {
                 if found.len() >= limit {
                     break;
                 }
-                if !found.iter().any(|(other, _)| other == number) {
-                    found.push((*number, i + 1));
+                if !found.iter().any(|(other, _)| other == index) {
+                    found.push((*index, i + 1));
                 }
             }
         }
-        let holders = found.into_iter().map(|(number, blocks)| Holder {
+        let holders = found.into_iter().map(|(index, blocks)| Holder {
             blocks,
-            target: &self.beliefs[&number].target,
+            target: &self.caches[&index].target,
         });
         holders.collect()
     }
 
     /// Blocks believed of a target.
     #[must_use]
-    pub fn blocks(&self, target: &TargetLife) -> usize {
-        self.belief(target).map_or(0, |belief| belief.stamps.len())
+    pub fn block_count(&self, target: &TargetLife) -> usize {
+        self.cache(target).map_or(0, |cache| cache.last_used.len())
     }
 
-    fn belief(&self, target: &TargetLife) -> Option<&Belief> {
-        self.beliefs.get(self.numbers.get(target)?)
+    fn cache(&self, target: &TargetLife) -> Option<&CacheModel> {
+        self.caches.get(self.indices.get(target)?)
     }
 
-    fn number(&mut self, target: &TargetLife) -> Number {
-        if let Some(number) = self.numbers.get(target) {
-            return *number;
+    fn index(&mut self, target: &TargetLife) -> TargetIndex {
+        if let Some(index) = self.indices.get(target) {
+            return *index;
         }
-        let number = self.next;
-        self.next += 1;
-        self.numbers.insert(target.clone(), number);
-        let belief = Belief {
+        let index = self.next_index;
+        self.next_index += 1;
+        self.indices.insert(target.clone(), index);
+        let cache = CacheModel {
             target: target.clone(),
-            ..Belief::default()
+            ..CacheModel::default()
         };
-        self.beliefs.insert(number, belief);
-        number
+        self.caches.insert(index, cache);
+        index
     }
 
-    fn store(&mut self, number: Number, digest: u64) {
-        self.stamp += 1;
-        let limit = TARGET_BLOCKS.min(ALL_BLOCKS / self.beliefs.len().max(1));
-        let Some(belief) = self.beliefs.get_mut(&number) else {
+    fn store(&mut self, index: TargetIndex, digest: u64) {
+        self.use_counter += 1;
+        let limit = MAX_BLOCKS_PER_TARGET.min(MAX_BLOCKS / self.caches.len().max(1));
+        let Some(cache) = self.caches.get_mut(&index) else {
             return;
         };
-        let old = belief.stamps.insert(digest, self.stamp);
-        belief.by_use.insert(self.stamp, digest);
+        let old = cache.last_used.insert(digest, self.use_counter);
+        cache.by_use.insert(self.use_counter, digest);
         match old {
             Some(old) => {
-                belief.by_use.remove(&old);
+                cache.by_use.remove(&old);
             }
-            None => self.holders.entry(digest).or_default().push(number),
+            None => self.holders.entry(digest).or_default().push(index),
         }
-        while let Some(oldest) = self.oldest_over(number, limit) {
-            self.drop_block(number, oldest);
+        while let Some(oldest) = self.oldest_over(index, limit) {
+            self.drop_block(index, oldest);
         }
     }
 
-    fn oldest_over(&self, number: Number, limit: usize) -> Option<u64> {
-        let belief = self.beliefs.get(&number)?;
-        let (_, oldest) = belief.by_use.first_key_value()?;
-        (belief.stamps.len() > limit).then_some(*oldest)
+    fn oldest_over(&self, index: TargetIndex, limit: usize) -> Option<u64> {
+        let cache = self.caches.get(&index)?;
+        let (_, oldest) = cache.by_use.first_key_value()?;
+        (cache.last_used.len() > limit).then_some(*oldest)
     }
 
-    fn drop_block(&mut self, number: Number, digest: u64) {
-        let Some(belief) = self.beliefs.get_mut(&number) else {
+    fn drop_block(&mut self, index: TargetIndex, digest: u64) {
+        let Some(cache) = self.caches.get_mut(&index) else {
             return;
         };
-        let Some(stamp) = belief.stamps.swap_remove(&digest) else {
+        let Some(last_use) = cache.last_used.swap_remove(&digest) else {
             return;
         };
-        belief.by_use.remove(&stamp);
+        cache.by_use.remove(&last_use);
         if let Some(holders) = self.holders.get_mut(&digest) {
-            holders.retain(|other| *other != number);
+            holders.retain(|other| *other != index);
             if holders.is_empty() {
                 self.holders.swap_remove(&digest);
             }
@@ -199,21 +199,21 @@
     }
 
     /// Drops the least recently used blocks, the first that an engine evicts.
-    fn drop_oldest(&mut self, number: Number, count: usize) {
-        let belief = self.beliefs.get(&number);
-        let oldest: Vec<u64> = belief.map_or(Vec::new(), |belief| {
-            belief.by_use.values().take(count).copied().collect()
+    fn drop_oldest(&mut self, index: TargetIndex, count: usize) {
+        let cache = self.caches.get(&index);
+        let oldest: Vec<u64> = cache.map_or(Vec::new(), |cache| {
+            cache.by_use.values().take(count).copied().collect()
         });
         for digest in oldest {
-            self.drop_block(number, digest);
+            self.drop_block(index, digest);
         }
     }
 
-    fn clear(&mut self, number: Number) {
-        let belief = self.beliefs.get(&number);
-        let held: Vec<u64> = belief.map_or(Vec::new(), |b| b.stamps.keys().copied().collect());
-        for digest in held {
-            self.drop_block(number, digest);
+    fn clear(&mut self, index: TargetIndex) {
+        let cache = self.caches.get(&index);
+        let digests: Vec<u64> = cache.map_or(Vec::new(), |b| b.last_used.keys().copied().collect());
+        for digest in digests {
+            self.drop_block(index, digest);
         }
     }
 }
--- a/crates/lilaccrank/src/dispatch/delay.rs
+++ b/crates/lilaccrank/src/dispatch/delay.rs
@@ -9,102 +9,102 @@
 
 use std::time::{Duration, Instant};
 
-use super::choice::{self, Room};
+use super::choice::{self, Occupancy};
 use super::health;
 use super::state::State;
 
 /// Asks that are looked at for one that suits the free targets.
-pub(super) const DELAY_SCAN: usize = 8;
+pub(super) const DELAY_SCAN_LIMIT: usize = 8;
 /// Times longer than the reading that it saves that an ask waits for a holder at most. In a burst
 /// the holder is busy for longer than one reading; giving up early costs the whole pool another
 /// one.
-const PATIENCE: u32 = 3;
+const MAX_DELAY_FACTOR: u32 = 3;
 /// Savings below this, in tokens, are not worth a delay.
-const SAVING_FLOOR: u64 = 256;
+const MIN_SAVED_TOKENS: u64 = 256;
 
 /// The wait of one ask for a holder.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Delay {
     /// Count of openings at which it was judged; until the next one no holder can come free.
-    openings: u64,
+    capacity_epoch: u64,
     since: Instant,
     until: Instant,
 }
 
 impl State {
     /// Room may have come free somewhere.
-    pub(super) fn note_opening(&mut self) {
-        self.openings += 1;
+    pub(super) fn note_capacity_change(&mut self) {
+        self.capacity_epoch += 1;
     }
 
     /// Whether the ask waits for a holder of its prefix.
-    pub(super) fn is_delayed(&self, request: &str, room: Room, now: Instant) -> bool {
+    pub(super) fn is_delayed(&self, request: &str, occupancy: Occupancy, now: Instant) -> bool {
         let Some(waiting) = self.waiting.get(request) else {
             return false;
         };
         if waiting.ask.prefix.is_empty() || choice::is_urgent(waiting.ask.tier) {
             return false;
         }
-        let earlier = waiting.delayed.get();
-        if let Some(delay) = earlier.filter(|delay| delay.openings == self.openings) {
+        let previous = waiting.delayed.get();
+        if let Some(delay) = previous.filter(|delay| delay.capacity_epoch == self.capacity_epoch) {
             return now < delay.until;
         }
-        let gain = self.gain(request, room, now);
-        if gain.is_zero() {
+        let saved_prefill_time = self.saved_prefill_time(request, occupancy, now);
+        if saved_prefill_time.is_zero() {
             return false;
         }
-        let since = earlier.map_or(now, |delay| delay.since);
+        let since = previous.map_or(now, |delay| delay.since);
         let delay = Delay {
-            openings: self.openings,
+            capacity_epoch: self.capacity_epoch,
             since,
-            until: since + gain * PATIENCE,
+            until: since + saved_prefill_time * MAX_DELAY_FACTOR,
         };
         waiting.delayed.set(Some(delay));
         now < delay.until
     }
 
     /// Time of reading that a full holder saves over the best open target.
-    fn gain(&self, request: &str, room: Room, now: Instant) -> Duration {
-        let wanted = self.wanted_by(&self.waiting[request], now);
-        let (mut open, mut full, mut rate) = (0, 0, f64::INFINITY);
-        let holders = self.affinity.holders(wanted.prefix, choice::HOLDERS);
-        if holders.len() >= choice::HOLDERS {
+    fn saved_prefill_time(&self, request: &str, occupancy: Occupancy, now: Instant) -> Duration {
+        let needs = self.needs_of(&self.waiting[request], now);
+        let (mut eligible_saving, mut busy_saving, mut rate) = (0, 0, f64::INFINITY);
+        let holders = self.affinity.holders(needs.prefix, choice::MAX_HOLDERS);
+        if holders.len() >= choice::MAX_HOLDERS {
             return Duration::ZERO;
         }
-        let pending = self.pending.blocks(wanted.prefix) as u64;
+        let inflight = self.inflight.blocks(needs.prefix) as u64;
         for holder in holders {
             let Some(target) = self.targets.get(holder.target) else {
                 continue;
             };
-            let held = holder.blocks as u64 * u64::from(wanted.block_tokens);
-            let saved = held.min(wanted.work.prefill);
-            let well = target.live && target.health.state() == health::State::Well;
-            if choice::is_open(target, &wanted, room, now) {
-                open = open.max(saved);
-            } else if well && !wanted.exclusions.contains(holder.target) && saved > full {
-                full = saved;
+            let cached = holder.blocks as u64 * u64::from(needs.block_tokens);
+            let saving = cached.min(needs.work.prefill);
+            let healthy = target.live && target.health.state() == health::State::Well;
+            if choice::is_eligible(target, &needs, occupancy, now) {
+                eligible_saving = eligible_saving.max(saving);
+            } else if healthy && !needs.exclusions.contains(holder.target) && saving > busy_saving {
+                busy_saving = saving;
                 rate = target.estimate.prefill_rate(now);
             }
         }
-        let pending = (pending * u64::from(wanted.block_tokens)).min(wanted.work.prefill);
-        if pending > full {
-            full = pending;
-            rate = rate.min(self.slowest_prefill(now));
+        let inflight = (inflight * u64::from(needs.block_tokens)).min(needs.work.prefill);
+        if inflight > busy_saving {
+            busy_saving = inflight;
+            rate = rate.min(self.slowest_prefill_rate(now));
         }
-        let saved = full.saturating_sub(open);
-        if saved < SAVING_FLOOR {
+        let saving = busy_saving.saturating_sub(eligible_saving);
+        if saving < MIN_SAVED_TOKENS {
             return Duration::ZERO;
         }
-        Duration::try_from_secs_f64(saved as f64 / rate).unwrap_or_default()
+        Duration::try_from_secs_f64(saving as f64 / rate).unwrap_or_default()
     }
 
     /// Prefill rate of the slowest target that is well: who reads a pending prefix isn't known.
-    fn slowest_prefill(&self, now: Instant) -> f64 {
-        let well = self
+    fn slowest_prefill_rate(&self, now: Instant) -> f64 {
+        let healthy = self
             .targets
             .values()
             .filter(|target| target.live && target.health.state() == health::State::Well);
-        let rates = well.map(|target| target.estimate.prefill_rate(now));
+        let rates = healthy.map(|target| target.estimate.prefill_rate(now));
         rates.fold(f64::INFINITY, f64::min)
     }
 }
--- a/crates/lilaccrank/src/dispatch/estimate.rs
+++ b/crates/lilaccrank/src/dispatch/estimate.rs
@@ -6,49 +6,49 @@
 use std::time::{Duration, Instant};
 
 use super::message::LoadReport;
-use super::steps::Steps;
+use super::step_model::StepModel;
 use super::work::Work;
 
 /// Prefill rate assumed of a target that was never seen, in tokens a second.
-const ASSUMED_PREFILL_RATE: f64 = 8000.0;
+const INITIAL_PREFILL_RATE: f64 = 8000.0;
 /// Slowest prefill rate that is believed.
-const SLOWEST_PREFILL_RATE: f64 = 10.0;
+const MIN_PREFILL_RATE: f64 = 10.0;
 /// Weight of a new sample in the prefill rate.
 const PREFILL_GAIN: f64 = 0.2;
 /// Prompts shorter than this are mostly other time than reading.
-const SHORT_PROMPT: u64 = 1024;
+const SHORT_PROMPT_TOKENS: u64 = 1024;
 /// Weight of a new sample in that other time.
 const OVERHEAD_GAIN: f64 = 0.1;
 /// Part of the time to a first token that is taken for reading at least.
-const READING_PART: f64 = 0.25;
+const MIN_PREFILL_FRACTION: f64 = 0.25;
 /// Shorter prefills are mostly step time and tell nothing of the rate.
-const PREFILL_SAMPLE: u64 = 128;
+const MIN_SAMPLE_TOKENS: u64 = 128;
 /// Weight of a new report in the load that isn't ours.
-const FOREIGN_GAIN: f64 = 0.5;
+const EXTERNAL_LOAD_GAIN: f64 = 0.5;
 /// A report is forgotten after this time.
-const REPORT_LIFE: Duration = Duration::from_secs(10);
+const REPORT_TTL: Duration = Duration::from_secs(10);
 /// Lag of reports that is allowed for: a request that ended this long ago may be in one.
-const REPORT_LAG: Duration = Duration::from_secs(3);
+const MAX_REPORT_LAG: Duration = Duration::from_secs(3);
 /// Times longer than expected that a target may be silent.
-const PATIENCE: f64 = 4.0;
+const HANG_TIMEOUT_FACTOR: f64 = 4.0;
 /// Steps that a target may be silent.
-const SILENT_STEPS: f64 = 50.0;
+const HANG_TIMEOUT_STEPS: f64 = 50.0;
 
 /// Load and speed of one target.
 #[derive(Clone, Debug)]
 pub struct Estimate {
-    foreign: f64,
+    external_load: f64,
     outstanding: Work,
     /// Time to a first token beside the reading of prompts, in seconds.
     overhead: f64,
     peak: u32,
     peak_at: Instant,
     /// What other daemons have there.
-    peers: (u32, Work),
+    peer_load: (u32, Work),
     prefill_rate: f64,
-    reported: Instant,
+    reported_at: Instant,
     running: u32,
-    steps: Steps,
+    step_model: StepModel,
 }
 
 impl Estimate {
@@ -56,37 +56,37 @@
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
-            foreign: 0.0,
+            external_load: 0.0,
             outstanding: Work::default(),
             overhead: 0.0,
             peak: 0,
             peak_at: now,
-            peers: (0, Work::default()),
-            prefill_rate: ASSUMED_PREFILL_RATE,
-            reported: now,
+            peer_load: (0, Work::default()),
+            prefill_rate: INITIAL_PREFILL_RATE,
+            reported_at: now,
             running: 0,
-            steps: Steps::new(now),
+            step_model: StepModel::new(now),
         }
     }
 
     /// A target that was never seen, among others that were: taken for slower than it is, it
     /// would get nothing by which it could show its speed.
-    pub fn usual<'a>(others: impl Iterator<Item = &'a Self>, now: Instant) -> Self {
-        let mut others: Vec<&Self> = others.collect();
-        others.sort_by(|a, b| a.prefill_rate.total_cmp(&b.prefill_rate));
-        let Some(median) = others.get(others.len() / 2) else {
+    pub fn from_median<'a>(estimates: impl Iterator<Item = &'a Self>, now: Instant) -> Self {
+        let mut estimates: Vec<&Self> = estimates.collect();
+        estimates.sort_by(|a, b| a.prefill_rate.total_cmp(&b.prefill_rate));
+        let Some(median) = estimates.get(estimates.len() / 2) else {
             return Self::new(now);
         };
         Self {
             overhead: median.overhead,
             prefill_rate: median.prefill_rate,
-            steps: median.steps.without_slowness(now),
+            step_model: median.step_model.without_slowness(now),
             ..Self::new(now)
         }
     }
 
     /// A request was granted.
-    pub fn granted(&mut self, work: Work, now: Instant) {
+    pub fn record_grant(&mut self, work: Work, now: Instant) {
         self.outstanding += work;
         self.running += 1;
         self.note_peak(now);
@@ -94,49 +94,50 @@
 
     /// The first token came: its prefill is done. `before` was outstanding when it was granted,
     /// its own included.
-    pub fn first_token(&mut self, prefill: u64, before: u64, after: Duration) {
+    pub fn record_first_token(&mut self, prefill: u64, prefill_ahead: u64, after: Duration) {
         self.outstanding -= Work { decode: 0, prefill };
-        self.learn_first_token(before, after);
+        self.observe_first_token(prefill_ahead, after);
     }
 
     /// Learns from a first token, of whichever daemon. Short prompts tell what a first token
     /// costs beside them, long ones how fast they are read.
-    pub fn learn_first_token(&mut self, before: u64, after: Duration) {
+    pub fn observe_first_token(&mut self, prefill_ahead: u64, after: Duration) {
         let after = after.as_secs_f64();
         if after <= 0.0 {
             return;
         }
-        if before < SHORT_PROMPT {
-            let sample = (after - before as f64 / self.prefill_rate).max(0.0);
+        if prefill_ahead < SHORT_PROMPT_TOKENS {
+            let sample = (after - prefill_ahead as f64 / self.prefill_rate).max(0.0);
             self.overhead += OVERHEAD_GAIN * (sample - self.overhead);
         }
-        if before >= PREFILL_SAMPLE {
-            let reading = (after - self.overhead).max(after * READING_PART);
-            let sample = before as f64 / reading;
+        if prefill_ahead >= MIN_SAMPLE_TOKENS {
+            let prefill_time = (after - self.overhead).max(after * MIN_PREFILL_FRACTION);
+            let sample = prefill_ahead as f64 / prefill_time;
             let rate = self.prefill_rate + PREFILL_GAIN * (sample - self.prefill_rate);
-            self.prefill_rate = rate.max(SLOWEST_PREFILL_RATE);
+            self.prefill_rate = rate.max(MIN_PREFILL_RATE);
         }
     }
 
     /// Learns from tokens that followed each other, of whichever daemon.
-    pub fn learn_step(&mut self, batch: u32, step: Duration, now: Instant) {
-        self.steps.observe(batch, step, now);
+    pub fn observe_step(&mut self, batch: u32, step: Duration, now: Instant) {
+        self.step_model.observe(batch, step, now);
     }
 
     /// Takes over what other daemons have there; whether room came free by that.
-    pub fn set_peers(&mut self, running: u32, work: Work) -> bool {
-        let (before, work_before) = std::mem::replace(&mut self.peers, (running, work));
-        running < before || work.prefill < work_before.prefill
+    pub fn set_peer_load(&mut self, running: u32, work: Work) -> bool {
+        let (previous_running, previous_work) =
+            std::mem::replace(&mut self.peer_load, (running, work));
+        running < previous_running || work.prefill < previous_work.prefill
     }
 
     /// Tokens came.
-    pub fn progress(&mut self, decode: u64, step: Duration, now: Instant) {
+    pub fn record_progress(&mut self, decode: u64, step: Duration, now: Instant) {
         self.outstanding -= Work { decode, prefill: 0 };
-        self.steps.observe(self.batch(now), step, now);
+        self.step_model.observe(self.batch(now), step, now);
     }
 
     /// A request has ended; `left` is what of it still counted as outstanding.
-    pub fn ended(&mut self, left: Work, now: Instant) {
+    pub fn record_end(&mut self, left: Work, now: Instant) {
         self.note_peak(now);
         self.outstanding -= left;
         self.running = self.running.saturating_sub(1);
@@ -145,15 +146,16 @@
     /// Takes in the target's report. Only what exceeds the most that we had running in the time
     /// the report may stem from is load that isn't ours: taken as a whole, a late report would
     /// count our own requests twice, or hide those just sent.
-    pub fn reported(&mut self, report: LoadReport, now: Instant) {
+    pub fn record_report(&mut self, report: LoadReport, now: Instant) {
         self.note_peak(now);
         let excess = report
             .running
             .saturating_add(report.waiting)
             .saturating_sub(self.peak);
-        let foreign = self.foreign(now);
-        self.foreign = foreign + FOREIGN_GAIN * (f64::from(excess) - foreign);
-        self.reported = now;
+        let external_load = self.external_load(now);
+        self.external_load =
+            external_load + EXTERNAL_LOAD_GAIN * (f64::from(excess) - external_load);
+        self.reported_at = now;
     }
 
     /// Requests of ours that run there.
@@ -165,14 +167,17 @@
     /// Requests in the target's batch and queue.
     #[must_use]
     pub fn batch(&self, now: Instant) -> u32 {
-        let others = self.peers.0.saturating_add(self.foreign(now) as u32);
-        self.running.saturating_add(others)
+        let other_requests = self
+            .peer_load
+            .0
+            .saturating_add(self.external_load(now) as u32);
+        self.running.saturating_add(other_requests)
     }
 
     /// Tokens sent by this daemon and the others, and not seen done.
     #[must_use]
     pub fn outstanding(&self) -> Work {
-        self.outstanding + self.peers.1
+        self.outstanding + self.peer_load.1
     }
 
     /// Tokens that this daemon sent and did not see done.
@@ -193,38 +198,39 @@
         self.prefill_rate / self.slowness(now)
     }
 
-    /// See [`Steps::slowness`].
+    /// See [`StepModel::slowness`].
     #[must_use]
     pub fn slowness(&self, now: Instant) -> f64 {
-        self.steps.slowness(now)
+        self.step_model.slowness(now)
     }
 
     /// Expected step time at a batch, in seconds.
     #[must_use]
     pub fn step(&self, batch: u32, now: Instant) -> f64 {
-        self.steps.expected(batch, now)
+        self.step_model.expected(batch, now)
     }
 
     /// Longest silence that still fits what was sent.
     #[must_use]
-    pub fn longest_silence(&self, now: Instant) -> Duration {
+    pub fn hang_timeout(&self, now: Instant) -> Duration {
         let prefill = self.outstanding().prefill as f64 / self.prefill_rate(now);
-        let steps = self.step(self.batch(now), now) * SILENT_STEPS;
-        Duration::try_from_secs_f64(prefill * PATIENCE + steps).unwrap_or(Duration::MAX)
+        let silent_steps = self.step(self.batch(now), now) * HANG_TIMEOUT_STEPS;
+        Duration::try_from_secs_f64(prefill * HANG_TIMEOUT_FACTOR + silent_steps)
+            .unwrap_or(Duration::MAX)
     }
 
-    fn foreign(&self, now: Instant) -> f64 {
-        let known = self.foreign > 0.0;
-        if known && now.saturating_duration_since(self.reported) < REPORT_LIFE {
-            self.foreign
+    fn external_load(&self, now: Instant) -> f64 {
+        let has_external_load = self.external_load > 0.0;
+        if has_external_load && now.saturating_duration_since(self.reported_at) < REPORT_TTL {
+            self.external_load
         } else {
             0.0
         }
     }
 
     fn note_peak(&mut self, now: Instant) {
-        let old = now.saturating_duration_since(self.peak_at) > REPORT_LAG;
-        if self.running >= self.peak || old {
+        let is_expired = now.saturating_duration_since(self.peak_at) > MAX_REPORT_LAG;
+        if self.running >= self.peak || is_expired {
             self.peak = self.running;
             self.peak_at = now;
         }
--- a/crates/lilaccrank/src/dispatch/fair.rs
+++ b/crates/lilaccrank/src/dispatch/fair.rs
@@ -9,13 +9,13 @@
 use crate::ids::{CustomerId, RequestId};
 
 /// Virtual time of one token at weight 1.
-const SCALE: u64 = 1 << 10;
+const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 10;
 /// Customers without waiting work that are remembered before a sweep.
-const IDLE_LIMIT: usize = 4096;
+const IDLE_FLOW_LIMIT: usize = 4096;
 
 /// Place of a customer's first ask in the order of its tier; lesser goes first.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Place {
+pub struct Position {
     virtual_time: u64,
     sequence: u64,
     /// The ask.
@@ -36,13 +36,13 @@
         self.lanes.iter().all(BTreeMap::is_empty)
     }
 
-    fn excess(&self) -> u64 {
-        self.backlog.tokens() * SCALE / self.weight
+    fn weighted_backlog(&self) -> u64 {
+        self.backlog.tokens() * VIRTUAL_TIME_PER_TOKEN / self.weight
     }
 
-    fn place(&self, lane: Lane) -> Option<Place> {
+    fn position(&self, lane: Lane) -> Option<Position> {
         let (&sequence, request) = self.lanes[lane as usize].first_key_value()?;
-        Some(Place {
+        Some(Position {
             virtual_time: self.virtual_time,
             sequence,
             request: request.clone(),
@@ -59,9 +59,9 @@
 /// Waiting asks of one tier.
 #[derive(Debug, Default)]
 pub struct FairQueue {
-    excesses: BTreeSet<(u64, CustomerId)>,
+    weighted_backlogs: BTreeSet<(u64, CustomerId)>,
     flows: IndexMap<CustomerId, Flow>,
-    heads: [BTreeSet<Place>; Lane::ALL.len()],
+    heads: [BTreeSet<Position>; Lane::ALL.len()],
     idle: usize,
     len: usize,
     total: Work,
@@ -75,7 +75,7 @@
         let virtual_time = self.virtual_time;
         let idle = self.flows.get(&item.customer).is_some_and(Flow::is_empty);
         self.idle -= usize::from(idle);
-        self.change(&item.customer, |flow| {
+        self.update(&item.customer, |flow| {
             flow.weight = u64::from(item.weight.max(1));
             flow.virtual_time = match flow.is_empty() {
                 true => flow.virtual_time.max(virtual_time),
@@ -90,7 +90,7 @@
 
     /// Takes out an ask.
     pub fn remove(&mut self, item: &Item, sequence: u64) {
-        self.change(&item.customer, |flow| {
+        self.update(&item.customer, |flow| {
             flow.backlog -= item.work;
             flow.lanes[item.lane as usize].remove(&sequence);
         });
@@ -98,41 +98,41 @@
         self.total -= item.work;
         if self.flows[&item.customer].is_empty() {
             self.idle += 1;
-            self.forget_idle();
+            self.prune_idle();
         }
     }
 
     /// Charges a customer for a granted ask.
     pub fn charge(&mut self, item: &Item) {
         let mut start = 0;
-        self.change(&item.customer, |flow| {
+        self.update(&item.customer, |flow| {
             start = flow.virtual_time;
-            flow.virtual_time += item.work.tokens() * SCALE / flow.weight;
+            flow.virtual_time += item.work.tokens() * VIRTUAL_TIME_PER_TOKEN / flow.weight;
         });
         self.virtual_time = self.virtual_time.max(start);
     }
 
     /// The first ask of each customer in a lane, in order.
-    pub fn heads(&self, lane: Lane) -> impl Iterator<Item = &Place> + '_ {
+    pub fn heads(&self, lane: Lane) -> impl Iterator<Item = &Position> + '_ {
         self.heads[lane as usize].iter()
     }
 
     /// The newest ask of the customer with the most work for its weight.
     pub fn victim(&self) -> Option<&RequestId> {
-        let (_, customer) = self.excesses.last()?;
+        let (_, customer) = self.weighted_backlogs.last()?;
         self.flows[customer].newest()
     }
 
     /// Work before a new ask of `customer`: its own, and of each other customer as much as its
     /// weight lets pass meanwhile.
-    pub fn ahead(&self, customer: &str, weight: u32) -> Work {
+    pub fn work_ahead(&self, customer: &str, weight: u32) -> Work {
         let own = self.flows.get(customer);
         let own = own.map_or(Work::default(), |flow| flow.backlog);
-        let turn = own.tokens() as f64 / f64::from(weight.max(1));
+        let rounds = own.tokens() as f64 / f64::from(weight.max(1));
         let others = self.flows.iter().filter(|(id, _)| *id != customer);
         others.fold(own, |sum, (_, flow)| {
             let tokens = flow.backlog.tokens() as f64;
-            let part = (turn * flow.weight as f64 / tokens).min(1.0);
+            let part = (rounds * flow.weight as f64 / tokens).min(1.0);
             sum + Work {
                 decode: (flow.backlog.decode as f64 * part) as u64,
                 prefill: (flow.backlog.prefill as f64 * part) as u64,
@@ -156,29 +156,31 @@
     }
 
     /// Changes one flow and keeps the ordered sets in step with it.
-    fn change(&mut self, customer: &str, with: impl FnOnce(&mut Flow)) {
+    fn update(&mut self, customer: &str, f: impl FnOnce(&mut Flow)) {
         let flow = self.flows.entry(customer.to_owned()).or_default();
         for lane in Lane::ALL {
-            if let Some(place) = flow.place(lane) {
-                self.heads[lane as usize].remove(&place);
+            if let Some(position) = flow.position(lane) {
+                self.heads[lane as usize].remove(&position);
             }
         }
         if !flow.is_empty() {
-            self.excesses.remove(&(flow.excess(), customer.to_owned()));
+            self.weighted_backlogs
+                .remove(&(flow.weighted_backlog(), customer.to_owned()));
         }
-        with(flow);
+        f(flow);
         for lane in Lane::ALL {
-            self.heads[lane as usize].extend(flow.place(lane));
+            self.heads[lane as usize].extend(flow.position(lane));
         }
         if !flow.is_empty() {
-            self.excesses.insert((flow.excess(), customer.to_owned()));
+            self.weighted_backlogs
+                .insert((flow.weighted_backlog(), customer.to_owned()));
         }
     }
 
     /// An idle customer is remembered while it is ahead of the tier's virtual time: forgotten
     /// sooner, it would come back without the debt. Behind it the memory has no effect.
-    fn forget_idle(&mut self) {
-        if self.idle <= IDLE_LIMIT {
+    fn prune_idle(&mut self) {
+        if self.idle <= IDLE_FLOW_LIMIT {
             return;
         }
         let virtual_time = self.virtual_time;
--- a/crates/lilaccrank/src/dispatch/pending.rs
+++ b/crates/lilaccrank/src/dispatch/inflight.rs
@@ -8,11 +8,11 @@
 
 /// Digests of prompts that are being read, with the number of requests that have each.
 #[derive(Debug, Default)]
-pub(super) struct Pending {
+pub(super) struct InflightPrefixes {
     requests: IndexMap<u64, u32>,
 }
 
-impl Pending {
+impl InflightPrefixes {
     /// A prompt is sent.
     pub(super) fn add(&mut self, prefix: &[u64]) {
         for digest in prefix {
--- a/crates/lilaccrank/src/dispatch/limits.rs
+++ b/crates/lilaccrank/src/dispatch/limits.rs
@@ -10,9 +10,9 @@
 use crate::ids::{CustomerId, RuleId};
 
 /// Retry-After when all places of a concurrency limit are taken.
-const BUSY_RETRY: Duration = Duration::from_secs(1);
+const CONCURRENCY_RETRY: Duration = Duration::from_secs(1);
 /// Counters that are kept before those without effect are dropped.
-const COUNTERS_LIMIT: usize = 4096;
+const MAX_COUNTERS: usize = 4096;
 
 /// Result of taking a place under a limit.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
@@ -30,7 +30,7 @@
 
 /// What is counted together.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub struct Counted {
+pub struct CounterKey {
     customer: Option<CustomerId>,
     rule: RuleId,
 }
@@ -39,7 +39,7 @@
 struct Counter {
     burst: f64,
     in_progress: u32,
-    left: f64,
+    tokens: f64,
     rate: f64,
     refilled: Instant,
 }
@@ -49,81 +49,84 @@
         self.rate = limit.rate_per_s.unwrap_or(0.0);
         self.burst = self.rate.max(1.0);
         let since = now.saturating_duration_since(self.refilled).as_secs_f64();
-        self.left = (self.left + since * self.rate).min(self.burst);
+        self.tokens = (self.tokens + since * self.rate).min(self.burst);
         self.refilled = now;
     }
 
     fn has_effect(&self, now: Instant) -> bool {
         let since = now.saturating_duration_since(self.refilled).as_secs_f64();
-        self.in_progress > 0 || self.left + since * self.rate < self.burst
+        self.in_progress > 0 || self.tokens + since * self.rate < self.burst
     }
 }
 
 /// Counters of all rules with limits.
 #[derive(Debug, Default)]
 pub struct Limits {
-    counters: IndexMap<Counted, Counter>,
+    counters: IndexMap<CounterKey, Counter>,
 }
 
 impl Limits {
     /// Takes a place for a request; `None` if no limit applies.
-    pub fn take(&mut self, ask: &Ask, now: Instant) -> Result<Option<Counted>> {
+    pub fn acquire(&mut self, ask: &Ask, now: Instant) -> Result<Option<CounterKey>> {
         let Some(limit) = ask.limit else {
             return Ok(None);
         };
         let counter = self.counter(ask, limit, now);
         let most = limit.concurrency.unwrap_or(u32::MAX);
         if counter.in_progress >= most {
-            let retry_after = BUSY_RETRY + backoff::full_jitter(BUSY_RETRY);
+            let retry_after = CONCURRENCY_RETRY + backoff::full_jitter(CONCURRENCY_RETRY);
             return Err(Error::Reached { retry_after });
         }
         if let Some(rate) = limit.rate_per_s {
-            if counter.left < 1.0 {
-                let missing = (1.0 - counter.left) / rate.max(f64::MIN_POSITIVE);
+            if counter.tokens < 1.0 {
+                let missing = (1.0 - counter.tokens) / rate.max(f64::MIN_POSITIVE);
                 let wait = Duration::try_from_secs_f64(missing).unwrap_or(Duration::MAX);
-                let wait = wait.min(super::shedding::LONGEST_RETRY);
+                let wait = wait.min(super::drain_rate::MAX_RETRY_AFTER);
                 let retry_after = wait + backoff::full_jitter(wait);
                 return Err(Error::Reached { retry_after });
             }
-            counter.left -= 1.0;
+            counter.tokens -= 1.0;
         }
         counter.in_progress += 1;
-        Ok(Some(counted(ask, limit)))
+        Ok(Some(counter_key(ask, limit)))
     }
 
     /// Counts a request that another dispatcher let pass.
-    pub fn take_over(&mut self, ask: &Ask, now: Instant) -> Option<Counted> {
+    pub fn take_over(&mut self, ask: &Ask, now: Instant) -> Option<CounterKey> {
         let limit = ask.limit?;
         self.counter(ask, limit, now).in_progress += 1;
-        Some(counted(ask, limit))
+        Some(counter_key(ask, limit))
     }
 
     /// Gives a place back.
-    pub fn release(&mut self, counted: &Counted) {
-        if let Some(counter) = self.counters.get_mut(counted) {
+    pub fn release(&mut self, counter_key: &CounterKey) {
+        if let Some(counter) = self.counters.get_mut(counter_key) {
             counter.in_progress = counter.in_progress.saturating_sub(1);
         }
     }
 
     fn counter(&mut self, ask: &Ask, limit: Limit, now: Instant) -> &mut Counter {
-        if self.counters.len() >= COUNTERS_LIMIT {
+        if self.counters.len() >= MAX_COUNTERS {
             self.counters.retain(|_, counter| counter.has_effect(now));
         }
-        let full = limit.rate_per_s.unwrap_or(0.0).max(1.0);
-        let counter = self.counters.entry(counted(ask, limit)).or_insert(Counter {
-            burst: full,
-            in_progress: 0,
-            left: full,
-            rate: 0.0,
-            refilled: now,
-        });
+        let capacity = limit.rate_per_s.unwrap_or(0.0).max(1.0);
+        let counter = self
+            .counters
+            .entry(counter_key(ask, limit))
+            .or_insert(Counter {
+                burst: capacity,
+                in_progress: 0,
+                tokens: capacity,
+                rate: 0.0,
+                refilled: now,
+            });
         counter.refill(limit, now);
         counter
     }
 }
 
-fn counted(ask: &Ask, limit: Limit) -> Counted {
-    Counted {
+fn counter_key(ask: &Ask, limit: Limit) -> CounterKey {
+    CounterKey {
         customer: limit.per_customer.then(|| ask.customer.clone()),
         rule: ask.rule.clone(),
     }
--- a/crates/lilaccrank/src/dispatch/message.rs
+++ b/crates/lilaccrank/src/dispatch/message.rs
@@ -113,17 +113,20 @@
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum Unmeetable {
     /// No target can end it in time, behind the work that goes first.
+    #[serde(rename = "Hopeless")]
     #[display("no target can end it in time")]
-    Hopeless,
+    Infeasible,
     /// The best open target can't end it in the time that is left.
     #[display("the best free target can't end it in the time that is left")]
     TooSlow,
     /// It waited for as long as its answer could begin in time.
+    #[serde(rename = "Waited")]
     #[display("no target came free in time")]
-    Waited,
+    TimedOut,
     /// Waits of its tier have mostly ended without a target of late.
+    #[serde(rename = "WaitsInVain")]
     #[display("its tier is waiting for nothing at present")]
-    WaitsInVain,
+    TierStarved,
 }
 
 /// What an entry daemon saw of a granted request.
--- a/crates/lilaccrank/src/dispatch/overload.rs
+++ b/crates/lilaccrank/src/dispatch/overload.rs
@@ -10,15 +10,15 @@
 
 impl State {
     /// Refuses what is too late.
-    pub(super) fn expire(&mut self, now: Instant) {
+    pub(super) fn expire_waiting(&mut self, now: Instant) {
         while let Some(request) = self.queue.expired(now).cloned() {
             let retry = self.retry_after(&request, now);
             if let Some(waiting) = self.waiting.get(&request)
                 && waiting.ask.partial.is_none()
             {
-                self.waits.ran_out(waiting.ask.tier, now);
+                self.wait_outcomes.timed_out(waiting.ask.tier, now);
             }
-            self.refuse(&request, Unmeetable::Waited, Some(retry));
+            self.refuse(&request, Unmeetable::TimedOut, Some(retry));
         }
     }
 
@@ -39,8 +39,9 @@
             let Some(victim) = self.queue.victim() else {
                 return;
             };
-            let kept = self.handover.is_some() && victim.standing.tier < self.cfg.lowest_tier;
-            if kept && self.queue.len() <= 2 * self.cfg.waiting_limit {
+            let is_protected =
+                self.handover.is_some() && victim.priority.tier < self.cfg.lowest_tier;
+            if is_protected && self.queue.len() <= 2 * self.cfg.waiting_limit {
                 return;
             }
             let request = victim.request.clone();
@@ -51,15 +52,17 @@
 
     fn retry_after(&mut self, request: &str, now: Instant) -> Duration {
         let item = self.queue.get(request);
-        let ahead = item.map_or(Work::default(), |item| {
-            self.queue.ahead(item.standing, &item.customer, item.weight)
+        let work_ahead = item.map_or(Work::default(), |item| {
+            self.queue
+                .work_ahead(item.priority, &item.customer, item.weight)
         });
-        self.retry_behind(ahead, now)
+        self.retry_after_work(work_ahead, now)
     }
 
-    pub(super) fn retry_behind(&mut self, ahead: Work, now: Instant) -> Duration {
+    pub(super) fn retry_after_work(&mut self, work_ahead: Work, now: Instant) -> Duration {
         self.refresh_capacity(now);
-        let modelled = self.wait(ahead);
-        self.drain.retry_after(ahead.tokens(), modelled, now)
+        let estimated_wait = self.min_drain_time(work_ahead);
+        self.drain
+            .retry_after(work_ahead.tokens(), estimated_wait, now)
     }
 }
--- a/crates/lilaccrank/src/dispatch/queue.rs
+++ b/crates/lilaccrank/src/dispatch/queue.rs
@@ -10,7 +10,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::fair::{FairQueue, Place};
+use super::fair::{FairQueue, Position};
 use super::work::Work;
 use crate::ids::{CustomerId, Rank, RequestId, Tier};
 
@@ -34,7 +34,7 @@
 
 /// Where an ask stands among all that wait; lesser goes first.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Standing {
+pub struct Priority {
     /// Rank of its customer.
     pub rank: Rank,
     /// Its tier.
@@ -51,7 +51,7 @@
     /// The request.
     pub request: RequestId,
     /// Its standing.
-    pub standing: Standing,
+    pub priority: Priority,
     /// When waiting longer has no use.
     pub until: Option<Instant>,
     /// Share of the customer.
@@ -67,7 +67,7 @@
     items: IndexMap<RequestId, Item>,
     next_sequence: u64,
     sequences: IndexMap<RequestId, u64>,
-    standings: BTreeMap<Standing, FairQueue>,
+    priorities: BTreeMap<Priority, FairQueue>,
 }
 
 impl Queue {
@@ -80,8 +80,8 @@
         if let Some(until) = item.until {
             self.expiries.insert((until, item.request.clone()));
         }
-        self.standings
-            .entry(item.standing)
+        self.priorities
+            .entry(item.priority)
             .or_default()
             .push(&item, sequence);
         self.sequences.insert(item.request.clone(), sequence);
@@ -98,40 +98,43 @@
         self.take(request, |_, _| ())
     }
 
-    fn take(&mut self, request: &str, then: impl Fn(&mut FairQueue, &Item)) -> Option<Item> {
+    fn take(&mut self, request: &str, on_take: impl Fn(&mut FairQueue, &Item)) -> Option<Item> {
         let item = self.items.swap_remove(request)?;
         let sequence = self.sequences.swap_remove(request)?;
         if let Some(until) = item.until {
             self.expiries.remove(&(until, item.request.clone()));
         }
-        let queue = self.standings.get_mut(&item.standing)?;
-        then(queue, &item);
+        let queue = self.priorities.get_mut(&item.priority)?;
+        on_take(queue, &item);
         queue.remove(&item, sequence);
         Some(item)
     }
 
     /// Standings with waiting asks, the first to go first.
-    pub fn standings(&self) -> impl Iterator<Item = Standing> + '_ {
-        let busy = self.standings.iter().filter(|(_, queue)| !queue.is_empty());
-        busy.map(|(standing, _)| *standing)
+    pub fn priorities(&self) -> impl Iterator<Item = Priority> + '_ {
+        let nonempty = self
+            .priorities
+            .iter()
+            .filter(|(_, queue)| !queue.is_empty());
+        nonempty.map(|(priority, _)| *priority)
     }
 
     /// The first standing with an ask that would take any target with room. A resumed answer takes only
     /// targets that finish it in time, so that room left to it would mostly stay unused.
     #[must_use]
-    pub fn first_contender(&self) -> Option<Standing> {
+    pub fn first_competing_priority(&self) -> Option<Priority> {
         let lanes = [Lane::Excluding, Lane::Long, Lane::Short];
-        let contends = |standing: &Standing| {
+        let has_competing_ask = |priority: &Priority| {
             let mut lanes = lanes.into_iter();
-            lanes.any(|lane| self.heads(*standing, lane).next().is_some())
+            lanes.any(|lane| self.heads(*priority, lane).next().is_some())
         };
-        self.standings().find(contends)
+        self.priorities().find(has_competing_ask)
     }
 
     /// The first ask of each customer in one lane, in fair order.
-    pub fn heads(&self, standing: Standing, lane: Lane) -> impl Iterator<Item = &Place> + '_ {
-        self.standings
-            .get(&standing)
+    pub fn heads(&self, priority: Priority, lane: Lane) -> impl Iterator<Item = &Position> + '_ {
+        self.priorities
+            .get(&priority)
             .into_iter()
             .flat_map(move |queue| queue.heads(lane))
     }
@@ -140,7 +143,7 @@
     /// waiting for its weight, the newest. So a burst of one customer costs only its own places.
     #[must_use]
     pub fn victim(&self) -> Option<&Item> {
-        let request = self.standings.values().rev().find_map(FairQueue::victim)?;
+        let request = self.priorities.values().rev().find_map(FairQueue::victim)?;
         self.items.get(request)
     }
 
@@ -155,18 +158,18 @@
     /// Work that goes before a new ask of this customer: all of the standings before its own, and
     /// of its own only each customer's fair part up to the new ask's turn.
     #[must_use]
-    pub fn ahead(&self, standing: Standing, customer: &str, weight: u32) -> Work {
-        let before = self.standings.range(..standing);
+    pub fn work_ahead(&self, priority: Priority, customer: &str, weight: u32) -> Work {
+        let before = self.priorities.range(..priority);
         let before = before.map(|(_, queue)| queue.total());
-        let own = self.standings.get(&standing);
-        let own = own.map_or(Work::default(), |queue| queue.ahead(customer, weight));
+        let own = self.priorities.get(&priority);
+        let own = own.map_or(Work::default(), |queue| queue.work_ahead(customer, weight));
         before.fold(own, |sum, work| sum + work)
     }
 
     /// All work of this standing and of those before it.
     #[must_use]
-    pub fn up_to(&self, standing: Standing) -> Work {
-        let queues = self.standings.range(..=standing);
+    pub fn work_up_to(&self, priority: Priority) -> Work {
+        let queues = self.priorities.range(..=priority);
         let works = queues.map(|(_, queue)| queue.total());
         works.fold(Work::default(), |sum, work| sum + work)
     }
@@ -192,8 +195,8 @@
     /// Number of asks waiting in a tier.
     #[must_use]
     pub fn waiting(&self, tier: Tier) -> usize {
-        let queues = self.standings.iter();
-        let of_tier = queues.filter(|(standing, _)| standing.tier == tier);
+        let queues = self.priorities.iter();
+        let of_tier = queues.filter(|(priority, _)| priority.tier == tier);
         of_tier.map(|(_, queue)| queue.len()).sum()
     }
 
--- a/crates/lilaccrank/src/dispatch/patience.rs
+++ b/crates/lilaccrank/src/dispatch/queue_deadline.rs
@@ -15,17 +15,17 @@
 use crate::ids::Tier;
 
 /// Part of its objective that an ask leaves for what estimates miss.
-const MARGIN: f64 = 0.1;
+const OBJECTIVE_MARGIN: f64 = 0.1;
 /// Tiers from 0 on whose late answers go before other tiers' timely ones.
 const LATE_TIERS: Tier = 1;
 /// Part of the time to its deadline for which such an ask waits: what is left has to do for the
 /// answer itself.
-const LATE_PART: f64 = 0.3;
+const LATE_WAIT_RATIO: f64 = 0.3;
 
 impl State {
     /// When the ask stops waiting; `None` if its caller told no objective, or if another target generates
     /// its answer meanwhile.
-    pub(super) fn patience(&self, ask: &Ask, now: Instant) -> Option<Instant> {
+    pub(super) fn queue_deadline(&self, ask: &Ask, now: Instant) -> Option<Instant> {
         if ask
             .partial
             .is_some_and(|partial| partial.remaining.is_some())
@@ -33,9 +33,9 @@
             return None;
         }
         let objective = ask.objective?.as_secs_f64();
-        let in_time = objective * (1.0 - MARGIN) - self.quickest_first_token(ask, now);
+        let in_time = objective * (1.0 - OBJECTIVE_MARGIN) - self.min_time_to_first_token(ask, now);
         let late = match ask.deadline {
-            Some(left) if ask.tier < LATE_TIERS => left.as_secs_f64() * LATE_PART,
+            Some(left) if ask.tier < LATE_TIERS => left.as_secs_f64() * LATE_WAIT_RATIO,
             _ => 0.0,
         };
         let wait = in_time.max(late).max(0.0);
@@ -43,7 +43,7 @@
     }
 
     /// Shortest time in which any live target gives a first token, if it is free, in seconds.
-    fn quickest_first_token(&self, ask: &Ask, now: Instant) -> f64 {
+    fn min_time_to_first_token(&self, ask: &Ask, now: Instant) -> f64 {
         let prompt = state::work(ask).prefill as f64;
         let live = self.targets.values().filter(|target| target.live);
         let times = live.map(|target| {
--- a/crates/lilaccrank/src/dispatch/rate_limit.rs
+++ b/crates/lilaccrank/src/dispatch/rate_limit.rs
@@ -13,14 +13,14 @@
 use crate::target_life::LifeDigest;
 
 /// Lowest rate that is applied. Without any request a target could not advertise the end of its limit.
-const LOWEST_PER_S: f64 = 0.1;
+const MIN_RATE_PER_S: f64 = 0.1;
 /// Capacity of all buckets of a target together: seconds of its rate, and requests beside.
 const BURST_S: f64 = 1.0;
 const BURST: f64 = 2.0;
 /// Least capacity of a bucket.
-const LEAST_BURST: f64 = 2.0;
+const MIN_BURST: f64 = 2.0;
 /// Longest time to pay off a debt, in seconds.
-const DEBT_S: f64 = 4.0;
+const MAX_DEBT_S: f64 = 4.0;
 
 /// A cell's share of a target's rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -34,21 +34,25 @@
 /// The share of the cell `me` of a target's rate, where these cells send to it.
 #[must_use]
 pub fn share(per_s: f64, target: LifeDigest, cells: &[CellId], me: CellId) -> Share {
-    let per_s = per_s.max(LOWEST_PER_S);
+    let per_s = per_s.max(MIN_RATE_PER_S);
     let burst = per_s * BURST_S + BURST;
     let names = cells.iter().map(|cell| (cell, cell.index.to_string()));
     let names: Vec<_> = names.collect();
-    let most = (burst / LEAST_BURST) as usize;
-    let duty = format!("rate-limit/{target}");
-    let sharers = rendezvous::top(&duty, names.iter().map(|(_, name)| name), most);
+    let max_sharers = (burst / MIN_BURST) as usize;
+    let ranking_key = format!("rate-limit/{target}");
+    let sharers = rendezvous::top(
+        &ranking_key,
+        names.iter().map(|(_, name)| name),
+        max_sharers,
+    );
     let own = names.iter().find(|(cell, _)| **cell == me);
     if !own.is_some_and(|(_, name)| sharers.contains(&name)) {
         return Share::default();
     }
-    let parts = sharers.len() as f64;
+    let sharer_count = sharers.len() as f64;
     Share {
-        burst: burst / parts,
-        per_s: per_s / parts,
+        burst: burst / sharer_count,
+        per_s: per_s / sharer_count,
     }
 }
 
@@ -83,18 +87,18 @@
         self.share
     }
 
-    /// Whether a request may be sent while tokens for `left_to_others` remain, as far as the bucket holds them.
+    /// Whether a request may be sent while tokens for `reserved` remain, as far as the bucket holds them.
     #[must_use]
-    pub fn allows(&self, left_to_others: u32, now: Instant) -> bool {
-        let wanted = (1.0 + f64::from(left_to_others)).min(self.share.burst);
-        self.tokens(now) >= wanted.max(1.0)
+    pub fn allows(&self, reserved: u32, now: Instant) -> bool {
+        let required = (1.0 + f64::from(reserved)).min(self.share.burst);
+        self.tokens(now) >= required.max(1.0)
     }
 
     /// Charges requests that were sent.
     pub fn take(&mut self, requests: u32, now: Instant) {
         self.refill(now);
-        let lowest = -self.share.per_s * DEBT_S - self.share.burst;
-        self.tokens = (self.tokens - f64::from(requests)).max(lowest);
+        let min_tokens = -self.share.per_s * MAX_DEBT_S - self.share.burst;
+        self.tokens = (self.tokens - f64::from(requests)).max(min_tokens);
     }
 
     fn refill(&mut self, now: Instant) {
--- a/crates/lilaccrank/src/dispatch/recovery.rs
+++ b/crates/lilaccrank/src/dispatch/recovery.rs
@@ -36,8 +36,8 @@
 
     /// Ends a handover that is complete or late.
     pub(super) fn check_handover(&mut self, now: Instant) {
-        let over = |handover: &Handover| handover.expected.is_empty() || now >= handover.until;
-        if self.handover.as_ref().is_some_and(over) {
+        let is_over = |handover: &Handover| handover.expected.is_empty() || now >= handover.until;
+        if self.handover.as_ref().is_some_and(is_over) {
             self.handover = None;
             self.dispatch(now);
             self.shed(now);
@@ -49,13 +49,13 @@
 
     /// Replaces what is known of one entry by what it tells.
     pub(super) fn resync(&mut self, resync: Resync, now: Instant) {
-        self.forget_earlier_lives(&resync.entry, now);
+        self.drop_earlier_incarnations(&resync.entry, now);
         let running = resync.running.iter().map(|running| &running.ask);
-        let told: IndexSet<RequestId> = running
+        let reported: IndexSet<RequestId> = running
             .chain(&resync.waiting)
             .map(|ask| ask.request.clone())
             .collect();
-        self.drop_untold(&resync.entry, &told, now);
+        self.drop_unreported(&resync.entry, &reported, now);
         for running in resync.running {
             self.take_over_running(running, now);
         }
@@ -80,24 +80,28 @@
         self.dispatch(now);
     }
 
-    fn forget_earlier_lives(&mut self, entry: &Entry, now: Instant) {
-        let earlier = |other: &Entry| other.vm == entry.vm && other.incarnation < entry.incarnation;
-        self.drop_requests_of(earlier, now);
+    fn drop_earlier_incarnations(&mut self, entry: &Entry, now: Instant) {
+        let is_earlier =
+            |other: &Entry| other.vm == entry.vm && other.incarnation < entry.incarnation;
+        self.drop_requests_of(is_earlier, now);
         if let Some(handover) = &mut self.handover {
-            handover.expected.retain(|other| !earlier(other));
+            handover.expected.retain(|other| !is_earlier(other));
         }
     }
 
-    fn drop_requests_of(&mut self, of: impl Fn(&Entry) -> bool, now: Instant) {
+    fn drop_requests_of(&mut self, matches_entry: impl Fn(&Entry) -> bool, now: Instant) {
         let waiting = self.waiting.values();
-        let waiting = waiting.filter(|waiting| of(&entry_of(&waiting.ask)));
+        let waiting = waiting.filter(|waiting| matches_entry(&entry_of(&waiting.ask)));
         let waiting: Vec<RequestId> = waiting.map(|w| w.ask.request.clone()).collect();
-        let held = self.reservations.iter().filter(|(_, held)| of(&held.entry));
-        let held: Vec<RequestId> = held.map(|(request, _)| request.clone()).collect();
+        let granted = self
+            .active_grants
+            .iter()
+            .filter(|(_, granted)| matches_entry(&granted.entry));
+        let granted: Vec<RequestId> = granted.map(|(request, _)| request.clone()).collect();
         for request in waiting {
             self.refuse(&request, ErrorKind::Cancelled, None);
         }
-        for request in held {
+        for request in granted {
             self.release(&request, now);
         }
     }
@@ -105,30 +109,30 @@
     /// Drops what the entry no longer knows. A call that still waits here, or a grant that it
     /// has not confirmed, may be younger than the resync and is kept; the end of the call or the
     /// lapse of the grant clears it.
-    fn drop_untold(&mut self, entry: &Entry, told: &IndexSet<RequestId>, now: Instant) {
+    fn drop_unreported(&mut self, entry: &Entry, reported: &IndexSet<RequestId>, now: Instant) {
         let waiting = self.waiting.values().filter(|waiting| {
             waiting.waiter.is_none()
                 && entry_of(&waiting.ask) == *entry
-                && !told.contains(&waiting.ask.request)
+                && !reported.contains(&waiting.ask.request)
         });
         let waiting: Vec<RequestId> = waiting.map(|w| w.ask.request.clone()).collect();
-        let held = self.reservations.iter().filter(|(request, held)| {
-            held.began && held.entry == *entry && !told.contains(*request)
+        let granted = self.active_grants.iter().filter(|(request, granted)| {
+            granted.began && granted.entry == *entry && !reported.contains(*request)
         });
-        let held: Vec<RequestId> = held.map(|(request, _)| request.clone()).collect();
+        let granted: Vec<RequestId> = granted.map(|(request, _)| request.clone()).collect();
         for request in waiting {
             self.refuse(&request, ErrorKind::Cancelled, None);
         }
-        for request in held {
+        for request in granted {
             self.release(&request, now);
         }
     }
 
     fn take_over_running(&mut self, running: Running, now: Instant) {
         let request = running.ask.request.clone();
-        let held = self.reservations.get_mut(&request);
-        if let Some(held) = held.filter(|held| held.ask >= running.ask.ask) {
-            held.began |= held.ask == running.ask.ask;
+        let granted = self.active_grants.get_mut(&request);
+        if let Some(granted) = granted.filter(|granted| granted.ask >= running.ask.ask) {
+            granted.began |= granted.ask == running.ask.ask;
             return;
         }
         let waiting = self.waiting.get(&request);
@@ -142,38 +146,41 @@
             None => work(&running.ask).prefill,
         };
         let choice = Choice {
-            earliest: 0.0,
+            earliest_completion: 0.0,
             prefill,
             target: running.target,
         };
         // A target that the configuration doesn't name gets nothing new, and still counts.
         self.targets
             .entry(choice.target.clone())
-            .or_insert_with(|| Target::leaving(choice.target.clone(), now));
+            .or_insert_with(|| Target::unlisted(choice.target.clone(), now));
         let waiting = Waiting {
-            counted: self.limits.take_over(&running.ask, now),
+            counter_key: self.limits.take_over(&running.ask, now),
             ask: running.ask,
             deadline: None,
             delayed: Cell::default(),
             waiter: None,
         };
         self.reserve(&waiting, &choice, now);
-        if let Some(held) = self.reservations.get_mut(&request) {
-            held.began = true;
+        if let Some(granted) = self.active_grants.get_mut(&request) {
+            granted.began = true;
         }
     }
 
     fn take_over_waiting(&mut self, ask: Ask, now: Instant) {
         let waiting = self.waiting.get(&ask.request).map(|w| w.ask.ask);
-        let held = self.reservations.get(&ask.request).map(|held| held.ask);
-        let known = waiting.max(held) >= Some(ask.ask);
+        let granted = self
+            .active_grants
+            .get(&ask.request)
+            .map(|granted| granted.ask);
+        let known = waiting.max(granted) >= Some(ask.ask);
         if known {
             return;
         }
         self.refuse(&ask.request, ErrorKind::Cancelled, None);
         self.release(&ask.request, now);
-        let counted = self.limits.take_over(&ask, now);
-        self.enqueue(ask, counted, now);
+        let counter_key = self.limits.take_over(&ask, now);
+        self.enqueue(ask, counter_key, now);
     }
 }
 
--- a/crates/lilaccrank/src/dispatch/reports.rs
+++ b/crates/lilaccrank/src/dispatch/reports.rs
@@ -4,7 +4,7 @@
 
 use super::estimate::Estimate;
 use super::message::{CacheEvent, LoadReport, Outcome, Report, ReportKind};
-use super::sharing::Seen;
+use super::sharing::Observation;
 use super::state::State;
 use super::target::Target;
 use super::work::Work;
@@ -13,22 +13,23 @@
 use crate::target_life::TargetLife;
 
 /// Weight of a new sample in the usual length of answers.
-const LENGTH_GAIN: f64 = 0.05;
+const LENGTH_RATIO_GAIN: f64 = 0.05;
 /// Shortest usual length that is believed.
-const LENGTH_FLOOR: f64 = 0.01;
+const MIN_LENGTH_RATIO: f64 = 0.01;
 
 impl State {
     /// Takes in a report of an entry; one of an earlier ask is too late and is dropped.
     pub(super) fn report(&mut self, report: &Report, now: Instant) {
-        let held = self.reservations.get_mut(&report.request);
-        let Some(held) = held.filter(|held| held.ask == report.ask) else {
+        let active_grant = self.active_grants.get_mut(&report.request);
+        let Some(active_grant) = active_grant.filter(|active_grant| active_grant.ask == report.ask)
+        else {
             return;
         };
-        let Some(target) = self.targets.get_mut(&held.target) else {
+        let Some(target) = self.targets.get_mut(&active_grant.target) else {
             return;
         };
-        held.began = true;
-        self.openings += 1;
+        active_grant.began = true;
+        self.capacity_epoch += 1;
         match report.kind {
             ReportKind::Began => {}
             ReportKind::Ended {
@@ -38,44 +39,50 @@
             } => {
                 match outcome {
                     Outcome::Complete => {
-                        target.health.answered(now);
-                        self.sharing.note(target.digest, Seen::Answered);
+                        target.health.record_success(now);
+                        self.sharing.record(target.digest, Observation::Answered);
                     }
                     Outcome::Erred => {
-                        target.health.erred(now);
-                        self.sharing.note(target.digest, Seen::Erred);
+                        target.health.record_error(now);
+                        self.sharing.record(target.digest, Observation::Erred);
                     }
                     Outcome::Failed => {
-                        target.health.failed(now);
-                        self.sharing.note(target.digest, Seen::Failed);
+                        target.health.record_failure(now);
+                        self.sharing.record(target.digest, Observation::Failed);
                     }
                     Outcome::Cancelled | Outcome::Unused => {}
                 }
-                self.ended(&report.request, decoded, outcome, now);
+                self.finish_request(&report.request, decoded, outcome, now);
             }
             ReportKind::FirstToken { after } => {
-                target.health.alive(now);
-                Self::note_change(&mut self.sharing, target, now);
-                let before = held.before;
+                target.health.record_activity(now);
+                Self::note_load_change(&mut self.sharing, target, now);
+                let prefill_ahead = active_grant.prefill_ahead;
                 target
                     .estimate
-                    .first_token(held.left.prefill, before, after);
-                self.sharing
-                    .note(target.digest, Seen::FirstToken { after, before });
-                target.long -= u32::from(held.long);
-                held.left.prefill = 0;
-                held.long = false;
-                let read = std::mem::take(&mut held.pending);
-                self.affinity.sent(&held.target, &read);
-                self.pending.remove(&read);
+                    .record_first_token(active_grant.left.prefill, prefill_ahead, after);
+                self.sharing.record(
+                    target.digest,
+                    Observation::FirstToken {
+                        after,
+                        prefill_ahead,
+                    },
+                );
+                target.long_prefills -= u32::from(active_grant.long_prefill);
+                active_grant.left.prefill = 0;
+                active_grant.long_prefill = false;
+                let digests = std::mem::take(&mut active_grant.inflight);
+                self.affinity.record_sent(&active_grant.target, &digests);
+                self.inflight.remove(&digests);
             }
             ReportKind::Progress { step, tokens } => {
-                let tokens = u64::from(tokens).min(held.left.decode);
-                target.health.alive(now);
+                let tokens = u64::from(tokens).min(active_grant.left.decode);
+                target.health.record_activity(now);
                 let batch = target.estimate.batch(now);
-                target.estimate.progress(tokens, step, now);
-                self.sharing.note(target.digest, Seen::Step { batch, step });
-                held.left -= Work {
+                target.estimate.record_progress(tokens, step, now);
+                self.sharing
+                    .record(target.digest, Observation::Step { batch, step });
+                active_grant.left -= Work {
                     decode: tokens,
                     prefill: 0,
                 };
@@ -87,8 +94,8 @@
     /// Takes in a target's own report.
     pub(super) fn load_report(&mut self, target: &TargetLife, report: LoadReport, now: Instant) {
         if let Some(target) = self.targets.get_mut(target) {
-            target.estimate.reported(report, now);
-            self.note_opening();
+            target.estimate.record_report(report, now);
+            self.note_capacity_change();
             self.dispatch(now);
         }
     }
@@ -101,41 +108,47 @@
         events: &[CacheEvent],
     ) {
         if let Some(target) = self.targets.get(target) {
-            self.affinity.events(&target.life, sequence, events);
-            self.note_opening();
+            self.affinity.apply_events(&target.life, sequence, events);
+            self.note_capacity_change();
         }
     }
 
     /// Takes over the targets of the pool in this data centre. Those that drain or are gone get
     /// nothing from now on, and are kept until what they run has ended.
-    pub(super) fn set_targets(&mut self, pool: &Pool, near: impl Fn(&str) -> bool, now: Instant) {
+    pub(super) fn set_targets(
+        &mut self,
+        pool: &Pool,
+        is_near: impl Fn(&str) -> bool,
+        now: Instant,
+    ) {
         for target in self.targets.values_mut() {
             target.live = false;
         }
-        let here = pool.targets.iter();
-        let here: Vec<_> = here.filter(|t| near(&t.data_centre)).collect();
+        let nearby = pool.targets.iter();
+        let nearby: Vec<_> = nearby.filter(|t| is_near(&t.data_centre)).collect();
         // Nothing that is known of an earlier life of a target holds for the present one.
         let known = self.targets.values();
-        let stays = |life: &TargetLife| here.iter().any(|given| TargetLife::of(given) == *life);
-        let known = known.filter(|target| stays(&target.life));
-        let usual = Estimate::usual(known.map(|target| &target.estimate), now);
-        for given in here {
-            let life = TargetLife::of(given);
+        let is_listed =
+            |life: &TargetLife| nearby.iter().any(|listed| TargetLife::of(listed) == *life);
+        let known = known.filter(|target| is_listed(&target.life));
+        let initial = Estimate::from_median(known.map(|target| &target.estimate), now);
+        for listed in nearby {
+            let life = TargetLife::of(listed);
             let target = self.targets.entry(life.clone()).or_insert_with(|| Target {
-                estimate: usual.clone(),
-                ..Target::new(life, given.slots, now)
+                estimate: initial.clone(),
+                ..Target::new(life, listed.slots, now)
             });
-            target.data_centre.clone_from(&given.data_centre);
-            target.live = given.state == TargetState::Live;
-            target.slots = given.slots;
+            target.data_centre.clone_from(&listed.data_centre);
+            target.live = listed.state == TargetState::Live;
+            target.slots = listed.slots;
         }
         self.cfg.waiting_limit = pool.waiting_limit;
-        self.note_opening();
+        self.note_capacity_change();
         let lives: Vec<TargetLife> = self.targets.keys().cloned().collect();
         for life in &lives {
-            self.drop_if_left(life);
+            self.remove_if_drained(life);
         }
-        self.forget_capacity();
+        self.invalidate_capacity();
         if self.targets.values().any(|target| target.live) {
             self.dispatch(now);
             self.shed(now);
@@ -145,7 +158,7 @@
     }
 
     /// Drops a target that gets nothing and runs nothing.
-    pub(super) fn drop_if_left(&mut self, life: &TargetLife) {
+    pub(super) fn remove_if_drained(&mut self, life: &TargetLife) {
         let target = self.targets.get(life);
         if target.is_some_and(|target| !target.live && target.estimate.running() == 0) {
             self.targets.shift_remove(life);
@@ -153,17 +166,18 @@
         }
     }
 
-    fn ended(&mut self, request: &str, decoded: u32, outcome: Outcome, now: Instant) {
-        let Some(held) = self.release(request, now) else {
+    fn finish_request(&mut self, request: &str, decoded: u32, outcome: Outcome, now: Instant) {
+        let Some(active_grant) = self.release(request, now) else {
             return;
         };
         if outcome == Outcome::Complete {
-            self.drain.ended(held.tokens, now);
-            if held.max_tokens > 0 {
-                let whole = decoded.saturating_add(held.partial_tokens);
-                let sample = f64::from(whole) / f64::from(held.max_tokens);
-                let length = self.length + LENGTH_GAIN * (sample - self.length);
-                self.length = length.clamp(LENGTH_FLOOR, 1.0);
+            self.drain.record_end(active_grant.tokens, now);
+            if active_grant.max_tokens > 0 {
+                let whole = decoded.saturating_add(active_grant.partial_tokens);
+                let sample = f64::from(whole) / f64::from(active_grant.max_tokens);
+                let length_ratio =
+                    self.length_ratio + LENGTH_RATIO_GAIN * (sample - self.length_ratio);
+                self.length_ratio = length_ratio.clamp(MIN_LENGTH_RATIO, 1.0);
             }
         }
     }
--- a/crates/lilaccrank/src/dispatch/reservation.rs
+++ b/crates/lilaccrank/src/dispatch/reservation.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// Part of a target's slots that is reserved for each tier before a request's own.
-const RESERVED_PART: f64 = 1.0 / 7.0;
+const RESERVED_FRACTION: f64 = 1.0 / 7.0;
 /// Most tiers for which slots are reserved.
 const RESERVED_TIERS: usize = 2;
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reservation {
     /// Whether the request leaves less the shorter it holds a slot.
-    by_hold: bool,
+    scales_with_hold: bool,
     objectives: [Duration; RESERVED_TIERS],
     /// Tiers for which slots are reserved.
     tiers: usize,
@@ -25,9 +25,9 @@
 impl Reservation {
     /// What tiers with these objectives, the most urgent first, reserve.
     #[must_use]
-    pub fn new(objectives: impl Iterator<Item = Duration>, by_hold: bool) -> Self {
+    pub fn new(objectives: impl Iterator<Item = Duration>, scales_with_hold: bool) -> Self {
         let mut reservation = Self {
-            by_hold,
+            scales_with_hold,
             ..Self::default()
         };
         for objective in objectives.take(RESERVED_TIERS) {
@@ -46,14 +46,14 @@
         }
     }
 
-    /// Slots out of `slots` that a request leaves free if it will hold one for `hold` seconds: at least one,
+    /// Slots out of `slots` that a request leaves free if it will hold one for `hold_s` seconds: at least one,
     /// if any tier is before its own.
     #[must_use]
-    pub fn slots(&self, slots: u32, hold: f64) -> u32 {
+    pub fn slots(&self, slots: u32, hold_s: f64) -> u32 {
         let objectives = &self.objectives[..self.tiers];
-        let tiers: f64 = objectives.iter().map(|o| self.weight(*o, hold)).sum();
-        let of = |tiers: f64| (f64::from(slots) * RESERVED_PART * tiers).round() as u32;
-        of(tiers).max(of(self.tiers as f64).min(1))
+        let tiers: f64 = objectives.iter().map(|o| self.weight(*o, hold_s)).sum();
+        let reserved = |tiers: f64| (f64::from(slots) * RESERVED_FRACTION * tiers).round() as u32;
+        reserved(tiers).max(reserved(self.tiers as f64).min(1))
     }
 
     /// Requests that are left to earlier tiers where a target takes only so many a second.
@@ -62,9 +62,9 @@
         self.tiers as u32
     }
 
-    fn weight(&self, objective: Duration, hold: f64) -> f64 {
-        if self.by_hold && !objective.is_zero() {
-            (hold / objective.as_secs_f64()).min(1.0)
+    fn weight(&self, objective: Duration, hold_s: f64) -> f64 {
+        if self.scales_with_hold && !objective.is_zero() {
+            (hold_s / objective.as_secs_f64()).min(1.0)
         } else {
             1.0
         }
--- a/crates/lilaccrank/src/dispatch/sharing.rs
+++ b/crates/lilaccrank/src/dispatch/sharing.rs
@@ -10,9 +10,9 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::queue::Standing;
+use super::queue::Priority;
 use super::state::State;
-use super::target::{Rival, Target};
+use super::target::{PeerWaiter, Target};
 use super::work::Work;
 use crate::ids::{TargetId, VmId};
 use crate::rendezvous;
@@ -20,28 +20,28 @@
 
 mod sample;
 
-pub use sample::{Sample, Seen};
+pub use sample::{Observation, Sample};
 
 /// A peer of which nothing is heard for this long has nothing on the targets any more: its
 /// connections ended with it, or it is cut off and its targets with it. Digests come four times a
 /// second at least.
-const PEER_LIFE: Duration = Duration::from_millis(1_500);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest time between two digests that tell all.
-const WHOLE_EVERY: Duration = Duration::from_millis(250);
+const FULL_DIGEST_INTERVAL: Duration = Duration::from_millis(250);
 /// Digests that tell one change: of datagrams one in forty is lost on a bad link, and three in a row
 /// once in 64,000 times; the next one that tells all makes good for these.
-const TOLD_TIMES: u8 = 3;
+const CHANGE_REPEATS: u8 = 3;
 /// Longest time that a sample of another daemon may tell of: an hour's prompt. More was made up, and
 /// would take a sound target out for good.
-const BELIEVED: Duration = Duration::from_secs(3_600);
+const MAX_SAMPLE_DURATION: Duration = Duration::from_secs(3_600);
 /// Samples kept between two digests; more would only make the estimates finer.
 const SAMPLES_LIMIT: usize = 64;
 /// Free slots of a target from which on a change there is told at once. The others choose by what they
 /// know: with more room than that, two of them may choose the same target and none waits for it.
-const SHORT_SLOTS: u32 = 2;
+const LOW_FREE_SLOTS: u32 = 2;
 /// The same for prompts that it still has to read, in seconds of reading: half of what work of a last
 /// tier may wait behind.
-const SHORT_READING: f64 = 0.03;
+const LOW_PREFILL_BACKLOG_S: f64 = 0.03;
 
 /// What one daemon has on the targets of a pool.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -53,7 +53,7 @@
     /// Running counts of requests sent to targets with a rate limit.
     pub sent: Vec<(LifeDigest, u32)>,
     /// Standing of the first ask that waits there for any target.
-    pub waiting: Option<Standing>,
+    pub waiting: Option<Priority>,
     /// Whether it has nothing on the targets that are left out; else they are as they were.
     pub whole: bool,
 }
@@ -73,33 +73,33 @@
 #[derive(Debug, Default)]
 pub(super) struct Sharing {
     /// Whether something has changed that decides where others send.
-    is_urgent: bool,
+    has_urgent_change: bool,
     peers: IndexMap<VmId, Peer>,
     samples: Vec<Sample>,
-    told: IndexMap<LifeDigest, Told>,
-    told_waiting: Option<Standing>,
-    told_whole: Option<Instant>,
+    announced: IndexMap<LifeDigest, Announced>,
+    announced_waiting: Option<Priority>,
+    last_full_digest: Option<Instant>,
 }
 
 #[derive(Debug)]
 struct Peer {
-    heard: Instant,
+    last_digest: Instant,
     loads: IndexMap<LifeDigest, TargetLoad>,
     sent: IndexMap<LifeDigest, u32>,
-    waiting: Option<Standing>,
+    waiting: Option<Priority>,
 }
 
 /// What was told of one target.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct Announced {
     load: TargetLoad,
     /// How often.
-    times: u8,
+    send_count: u8,
 }
 
 impl Peer {
     /// Requests sent since its last digest; the first count of a target is only a baseline.
-    fn take_sent(&mut self, sent: &[(LifeDigest, u32)]) -> Vec<(LifeDigest, u32)> {
+    fn apply_sent(&mut self, sent: &[(LifeDigest, u32)]) -> Vec<(LifeDigest, u32)> {
         let new = sent.iter().filter_map(|(target, count)| {
             let before = self.sent.insert(*target, *count)?;
             let new = count.checked_sub(before).unwrap_or(*count);
@@ -111,8 +111,8 @@
         new
     }
 
-    fn take(&mut self, digest: Digest, now: Instant) {
-        self.heard = now;
+    fn apply(&mut self, digest: Digest, now: Instant) {
+        self.last_digest = now;
         self.waiting = digest.waiting;
         if digest.whole {
             self.loads.clear();
@@ -129,22 +129,25 @@
 
 impl Sharing {
     /// Notes what was seen, for the next digest.
-    pub(super) fn note(&mut self, target: LifeDigest, seen: Seen) {
+    pub(super) fn record(&mut self, target: LifeDigest, observation: Observation) {
         if self.samples.len() < SAMPLES_LIMIT {
-            self.samples.push(Sample { seen, target });
+            self.samples.push(Sample {
+                observation,
+                target,
+            });
         }
     }
 
     /// Who else waits for room on a target, as seen by `me`.
-    fn rival(&self, me: &VmId, target: &TargetId) -> Option<Rival> {
+    fn peer_waiter(&self, me: &VmId, target: &TargetId) -> Option<PeerWaiter> {
         let waiting = self.peers.iter();
         let waiting = waiting.filter_map(|(vm, peer)| Some((peer.waiting?, vm)));
-        let standing = waiting.clone().map(|(standing, _)| standing).min()?;
+        let priority = waiting.clone().map(|(priority, _)| priority).min()?;
         let own = rendezvous::weight(target, me);
-        let mut equals = waiting.filter(|(other, _)| *other == standing);
-        Some(Rival {
-            goes_before_equals: equals.any(|(_, vm)| rendezvous::weight(target, vm) > own),
-            standing,
+        let mut equals = waiting.filter(|(other, _)| *other == priority);
+        Some(PeerWaiter {
+            wins_ties: equals.any(|(_, vm)| rendezvous::weight(target, vm) > own),
+            priority,
         })
     }
 
@@ -164,34 +167,46 @@
 
     /// Of all that this daemon has, what the others have to be told: all of it now and then, else what
     /// has changed of late.
-    fn due(&mut self, loads: impl Iterator<Item = TargetLoad>, whole: bool) -> Vec<TargetLoad> {
-        let mut before = std::mem::take(&mut self.told);
+    fn loads_to_send(
+        &mut self,
+        loads: impl Iterator<Item = TargetLoad>,
+        whole: bool,
+    ) -> Vec<TargetLoad> {
+        let mut before = std::mem::take(&mut self.announced);
         for load in loads {
-            let told = before.swap_remove(&load.target);
-            let told = told.filter(|told| told.load == load);
-            let told = told.unwrap_or(Told { load, times: 0 });
-            self.told.insert(load.target, told);
+            let announced = before.swap_remove(&load.target);
+            let announced = announced.filter(|announced| announced.load == load);
+            let announced = announced.unwrap_or(Announced {
+                load,
+                send_count: 0,
+            });
+            self.announced.insert(load.target, announced);
         }
         // What it had there has ended.
-        for (target, told) in before {
+        for (target, announced) in before {
             let load = TargetLoad {
                 prefill: 0,
                 running: 0,
                 target,
             };
-            let times = if told.load == load { told.times } else { 0 };
-            if times < TOLD_TIMES {
-                self.told.insert(target, Told { load, times });
+            let send_count = if announced.load == load {
+                announced.send_count
+            } else {
+                0
+            };
+            if send_count < CHANGE_REPEATS {
+                self.announced
+                    .insert(target, Announced { load, send_count });
             }
         }
-        let mut tell = Vec::new();
-        for told in self.told.values_mut() {
-            if told.times < TOLD_TIMES || (whole && told.load.running > 0) {
-                told.times = told.times.saturating_add(1);
-                tell.push(told.load);
+        let mut to_send = Vec::new();
+        for announced in self.announced.values_mut() {
+            if announced.send_count < CHANGE_REPEATS || (whole && announced.load.running > 0) {
+                announced.send_count = announced.send_count.saturating_add(1);
+                to_send.push(announced.load);
             }
         }
-        tell
+        to_send
     }
 }
 
@@ -210,103 +225,109 @@
         let sent = limited.map(|target| (target.digest, target.sent)).collect();
         let age = |at: Instant| now.saturating_duration_since(at);
         let sharing = &mut self.sharing;
-        let whole = sharing.told_whole.is_none_or(|at| age(at) >= WHOLE_EVERY);
+        let whole = sharing
+            .last_full_digest
+            .is_none_or(|at| age(at) >= FULL_DIGEST_INTERVAL);
         if whole {
-            sharing.told_whole = Some(now);
+            sharing.last_full_digest = Some(now);
         }
-        sharing.is_urgent = false;
-        sharing.told_waiting = self.queue.first_contender();
+        sharing.has_urgent_change = false;
+        sharing.announced_waiting = self.queue.first_competing_priority();
         Digest {
-            loads: sharing.due(loads, whole),
+            loads: sharing.loads_to_send(loads, whole),
             samples: std::mem::take(&mut sharing.samples),
             sent,
-            waiting: sharing.told_waiting,
+            waiting: sharing.announced_waiting,
             whole,
         }
     }
 
     /// Whether something has changed since the last digest that decides where others send: at a target
     /// with little room, or in who waits for room.
-    pub(super) fn is_news_urgent(&self) -> bool {
-        self.sharing.is_urgent || self.sharing.told_waiting != self.queue.first_contender()
+    pub(super) fn has_urgent_changes(&self) -> bool {
+        self.sharing.has_urgent_change
+            || self.sharing.announced_waiting != self.queue.first_competing_priority()
     }
 
     /// This daemon's requests on a target are about to change, or have changed.
-    pub(super) fn note_change(sharing: &mut Sharing, target: &Target, now: Instant) {
-        sharing.is_urgent |= target.rate_limit.is_some() || is_short(target, now);
+    pub(super) fn note_load_change(sharing: &mut Sharing, target: &Target, now: Instant) {
+        sharing.has_urgent_change |= target.rate_limit.is_some() || is_nearly_full(target, now);
     }
 
     /// Takes in what another daemon has.
-    pub(super) fn take_digest(&mut self, from: &VmId, digest: Digest, now: Instant) {
+    pub(super) fn apply_digest(&mut self, from: &VmId, digest: Digest, now: Instant) {
         for sample in &digest.samples {
-            self.learn(sample, now);
+            self.apply_sample(sample, now);
         }
         let peer = self.sharing.peers.entry(from.clone());
         let peer = peer.or_insert_with(|| Peer {
-            heard: now,
+            last_digest: now,
             loads: IndexMap::new(),
             sent: IndexMap::new(),
             waiting: None,
         });
-        let sent = peer.take_sent(&digest.sent);
-        peer.take(digest, now);
+        let sent = peer.apply_sent(&digest.sent);
+        peer.apply(digest, now);
         for (target, requests) in sent {
             let mut targets = self.targets.values_mut();
             if let Some(target) = targets.find(|known| known.digest == target) {
                 target.sent_by_peer(requests, now);
             }
         }
-        self.spread_peer_loads(now);
-        self.note_opening();
+        self.apply_peer_loads(now);
+        self.note_capacity_change();
         self.dispatch(now);
     }
 
     /// Forgets peers of which nothing is heard any more.
-    pub(super) fn forget_silent_peers(&mut self, now: Instant) {
+    pub(super) fn expire_peers(&mut self, now: Instant) {
         let before = self.sharing.peers.len();
-        let lives = |peer: &Peer| now.saturating_duration_since(peer.heard) < PEER_LIFE;
-        self.sharing.peers.retain(|_, peer| lives(peer));
+        let is_alive = |peer: &Peer| now.saturating_duration_since(peer.last_digest) < PEER_TIMEOUT;
+        self.sharing.peers.retain(|_, peer| is_alive(peer));
         if self.sharing.peers.len() < before {
-            self.spread_peer_loads(now);
-            self.note_opening();
+            self.apply_peer_loads(now);
+            self.note_capacity_change();
         }
     }
 
-    fn spread_peer_loads(&mut self, now: Instant) {
+    fn apply_peer_loads(&mut self, now: Instant) {
         let totals = self.sharing.totals();
         for target in self.targets.values_mut() {
             let (running, work) = totals.get(&target.digest).copied().unwrap_or_default();
             if target.rate_limit.is_some() {
-                target.rival = self.sharing.rival(&self.cfg.vm, &target.life.id);
+                target.peer_waiter = self.sharing.peer_waiter(&self.cfg.vm, &target.life.id);
             }
-            if target.estimate.set_peers(running, work) {
-                let rival = self.sharing.rival(&self.cfg.vm, &target.life.id);
-                target.opened(rival, now);
+            if target.estimate.set_peer_load(running, work) {
+                let peer_waiter = self.sharing.peer_waiter(&self.cfg.vm, &target.life.id);
+                target.freed_by_peer(peer_waiter, now);
             }
         }
     }
 
-    fn learn(&mut self, sample: &Sample, now: Instant) {
+    fn apply_sample(&mut self, sample: &Sample, now: Instant) {
         let mut targets = self.targets.values_mut();
         let Some(target) = targets.find(|target| target.digest == sample.target) else {
             return;
         };
-        match sample.seen {
-            Seen::Answered => target.health.answered(now),
-            Seen::Erred => target.health.erred(now),
-            Seen::Failed => target.health.failed(now),
-            Seen::FirstToken { after, .. } if after > BELIEVED => {}
-            Seen::FirstToken { after, before } => target.estimate.learn_first_token(before, after),
-            Seen::Step { step, .. } if step > BELIEVED => {}
-            Seen::Step { batch, step } => target.estimate.learn_step(batch, step, now),
+        match sample.observation {
+            Observation::Answered => target.health.record_success(now),
+            Observation::Erred => target.health.record_error(now),
+            Observation::Failed => target.health.record_failure(now),
+            Observation::FirstToken { after, .. } if after > MAX_SAMPLE_DURATION => {}
+            Observation::FirstToken {
+                after,
+                prefill_ahead,
+            } => target.estimate.observe_first_token(prefill_ahead, after),
+            Observation::Step { step, .. } if step > MAX_SAMPLE_DURATION => {}
+            Observation::Step { batch, step } => target.estimate.observe_step(batch, step, now),
         }
     }
 }
 
 /// Whether a target has little room left.
-fn is_short(target: &Target, now: Instant) -> bool {
+fn is_nearly_full(target: &Target, now: Instant) -> bool {
     let estimate = &target.estimate;
-    let reading = estimate.outstanding().prefill as f64 / estimate.prefill_rate(now);
-    let taken = estimate.batch(now).saturating_add(SHORT_SLOTS);
-    taken >= target.slots_now(now) || reading > SHORT_READING
+    let prefill_time = estimate.outstanding().prefill as f64 / estimate.prefill_rate(now);
+    let taken = estimate.batch(now).saturating_add(LOW_FREE_SLOTS);
+    taken >= target.effective_slots(now) || prefill_time > LOW_PREFILL_BACKLOG_S
 }
--- a/crates/lilaccrank/src/dispatch/sharing/sample.rs
+++ b/crates/lilaccrank/src/dispatch/sharing/sample.rs
@@ -12,14 +12,14 @@
 #[serde(into = "Packed", try_from = "Packed")]
 pub struct Sample {
     /// What was seen.
-    pub seen: Seen,
+    pub observation: Observation,
     /// The target.
     pub target: LifeDigest,
 }
 
 /// What was seen of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
+pub enum Observation {
     /// A whole answer.
     Answered,
     /// An answer that it failed, or would not run the request.
@@ -31,7 +31,7 @@
         /// Time since the request was sent.
         after: Duration,
         /// Prompt tokens before it when it was sent, its own included.
-        before: u64,
+        prefill_ahead: u64,
     },
     /// Tokens that followed each other.
     Step {
@@ -55,12 +55,15 @@
 impl From<Sample> for Packed {
     fn from(sample: Sample) -> Self {
         let micros = |time: Duration| u32::try_from(time.as_micros()).unwrap_or(u32::MAX);
-        let (kind, time, number) = match sample.seen {
-            Seen::Answered => (0, 0, 0),
-            Seen::Erred => (1, 0, 0),
-            Seen::Failed => (2, 0, 0),
-            Seen::FirstToken { after, before } => (3, micros(after), before),
-            Seen::Step { batch, step } => (4, micros(step), batch.into()),
+        let (kind, time, number) = match sample.observation {
+            Observation::Answered => (0, 0, 0),
+            Observation::Erred => (1, 0, 0),
+            Observation::Failed => (2, 0, 0),
+            Observation::FirstToken {
+                after,
+                prefill_ahead,
+            } => (3, micros(after), prefill_ahead),
+            Observation::Step { batch, step } => (4, micros(step), batch.into()),
         };
         Self(sample.target, kind, time, number)
     }
@@ -72,20 +75,23 @@
     fn try_from(packed: Packed) -> Result<Self, UnknownKind> {
         let Packed(target, kind, time, number) = packed;
         let time = Duration::from_micros(time.into());
-        let seen = match kind {
-            0 => Seen::Answered,
-            1 => Seen::Erred,
-            2 => Seen::Failed,
-            3 => Seen::FirstToken {
+        let observation = match kind {
+            0 => Observation::Answered,
+            1 => Observation::Erred,
+            2 => Observation::Failed,
+            3 => Observation::FirstToken {
                 after: time,
-                before: number,
+                prefill_ahead: number,
             },
-            4 => Seen::Step {
+            4 => Observation::Step {
                 batch: u32::try_from(number).unwrap_or(u32::MAX),
                 step: time,
             },
             kind => return Err(UnknownKind(kind)),
         };
-        Ok(Self { seen, target })
+        Ok(Self {
+            observation,
+            target,
+        })
     }
 }
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -9,21 +9,21 @@
 
 use super::Config;
 use super::affinity::Affinity;
-use super::choice::{self, Wanted};
+use super::choice::{self, Requirements};
 use super::deadline::Capacity;
 use super::delay::Delay;
-use super::limits::{Counted, Limits};
+use super::drain_rate::DrainRate;
+use super::inflight::InflightPrefixes;
+use super::limits::{CounterKey, Limits};
 use super::message::{Ask, AskNumber, Entry, Grant, Refuse, Unmeetable, Verdict};
-use super::pending::Pending;
-use super::queue::{Item, Lane, Queue, Standing};
+use super::queue::{Item, Lane, Priority, Queue};
 use super::rate_limit::Share;
 use super::recovery::Handover;
 use super::reservation::Reservation;
 use super::sharing::Sharing;
-use super::shedding::DrainRate;
 use super::target::Target;
 use super::tiers::Tiers;
-use super::waits::Waits;
+use super::wait_outcomes::WaitOutcomes;
 use super::work::Work;
 use crate::error_kind::ErrorKind;
 use crate::ids::RequestId;
@@ -32,9 +32,9 @@
 
 /// Part of the time that an answer still takes at its target within which another one has to finish it: a
 /// migration reads the prompt and the partial answer once more.
-const MIGRATION_GAIN: f64 = 0.6;
+const MIGRATION_TIME_RATIO: f64 = 0.6;
 /// Part of `max_tokens` that answers are assumed to use before any has ended.
-const ASSUMED_LENGTH: f64 = 0.5;
+const INITIAL_LENGTH_RATIO: f64 = 0.5;
 
 /// Names one waiting call, so that a call that ends late doesn't take back its successor's ask.
 pub(super) type WaiterId = u64;
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) ask: Ask,
-    pub(super) counted: Option<Counted>,
+    pub(super) counter_key: Option<CounterKey>,
     pub(super) deadline: Option<Instant>,
     /// Its wait for a holder of its prefix.
     pub(super) delayed: Cell<Option<Delay>>,
@@ -59,12 +59,12 @@
 
 /// Why an ask is refused.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Reason {
+pub(super) struct RefusalReason {
     kind: ErrorKind,
     unmeetable: Option<Unmeetable>,
 }
 
-impl From<ErrorKind> for Reason {
+impl From<ErrorKind> for RefusalReason {
     fn from(kind: ErrorKind) -> Self {
         Self {
             kind,
@@ -73,7 +73,7 @@
     }
 }
 
-impl From<Unmeetable> for Reason {
+impl From<Unmeetable> for RefusalReason {
     fn from(unmeetable: Unmeetable) -> Self {
         Self {
             kind: ErrorKind::DeadlineUnmeetable,
@@ -84,24 +84,24 @@
 
 /// A granted request.
 #[derive(Debug)]
-pub(super) struct HeldGrant {
+pub(super) struct ActiveGrant {
     pub(super) ask: AskNumber,
     pub(super) began: bool,
     /// Prefill outstanding at the target when this was granted, its own included.
-    pub(super) before: u64,
-    pub(super) counted: Option<Counted>,
+    pub(super) prefill_ahead: u64,
+    pub(super) counter_key: Option<CounterKey>,
     pub(super) entry: Entry,
     /// Time to the whole answer by which it was judged.
     pub(super) expected: Duration,
     pub(super) granted: Instant,
     /// What of it counts as outstanding at the target.
     pub(super) left: Work,
-    pub(super) long: bool,
+    pub(super) long_prefill: bool,
     /// Tokens of its answer that earlier targets generated.
     pub(super) partial_tokens: u32,
     pub(super) max_tokens: u32,
     /// Digests of a prompt that the target still reads.
-    pub(super) pending: Vec<u64>,
+    pub(super) inflight: Vec<u64>,
     pub(super) target: TargetLife,
     pub(super) tokens: u64,
     /// Whether it tries a target that was silent.
@@ -113,29 +113,29 @@
     pub(super) affinity: Affinity,
     pub(super) capacity: Capacity,
     /// Part of a prompt that has to be computed, the rest being in the cache.
-    pub(super) computed: f64,
+    pub(super) cache_miss_ratio: f64,
     pub(super) cfg: Config,
     pub(super) drain: DrainRate,
     pub(super) handover: Option<Handover>,
     /// Part of `max_tokens` that answers use.
-    pub(super) length: f64,
+    pub(super) length_ratio: f64,
     pub(super) limits: Limits,
     pub(super) next_waiter: WaiterId,
     /// Counts the events by which room may have come free.
-    pub(super) openings: u64,
+    pub(super) capacity_epoch: u64,
     /// Prefixes on their way into caches.
-    pub(super) pending: Pending,
+    pub(super) inflight: InflightPrefixes,
     pub(super) queue: Queue,
-    pub(super) reservations: IndexMap<RequestId, HeldGrant>,
+    pub(super) active_grants: IndexMap<RequestId, ActiveGrant>,
     pub(super) sharing: Sharing,
     pub(super) targets: IndexMap<TargetLife, Target>,
     /// Tiers that use the pool.
     pub(super) tiers: Tiers,
     /// Grants so far.
-    pub(super) turn: u64,
+    pub(super) grant_sequence: u64,
     pub(super) waiting: IndexMap<RequestId, Waiting>,
     /// What became of asks that waited.
-    pub(super) waits: Waits,
+    pub(super) wait_outcomes: WaitOutcomes,
 }
 
 impl State {
@@ -143,43 +143,46 @@
         Self {
             affinity: Affinity::default(),
             capacity: Capacity::default(),
-            computed: 1.0,
+            cache_miss_ratio: 1.0,
             drain: DrainRate::new(jitter_seed(&cfg), now),
             cfg,
             handover: None,
-            length: ASSUMED_LENGTH,
+            length_ratio: INITIAL_LENGTH_RATIO,
             limits: Limits::default(),
             next_waiter: 0,
-            openings: 0,
-            pending: Pending::default(),
+            capacity_epoch: 0,
+            inflight: InflightPrefixes::default(),
             queue: Queue::default(),
-            reservations: IndexMap::new(),
+            active_grants: IndexMap::new(),
             sharing: Sharing::default(),
             targets: IndexMap::new(),
             tiers: Tiers::default(),
-            turn: 0,
+            grant_sequence: 0,
             waiting: IndexMap::new(),
-            waits: Waits::default(),
+            wait_outcomes: WaitOutcomes::default(),
         }
     }
 
     /// Puts an ask into the queue.
-    pub(super) fn enqueue(&mut self, ask: Ask, counted: Option<Counted>, now: Instant) {
+    pub(super) fn enqueue(&mut self, ask: Ask, counter_key: Option<CounterKey>, now: Instant) {
         let deadline = ask.deadline.and_then(|left| now.checked_add(left));
-        let longest = ask.wait_at_most.and_then(|wait| now.checked_add(wait));
-        let patience = self.patience(&ask, now);
+        let queue_limit = ask.wait_at_most.and_then(|wait| now.checked_add(wait));
+        let queue_deadline = self.queue_deadline(&ask, now);
         self.queue.push(Item {
             customer: ask.customer.clone(),
             lane: lane(&ask),
             request: ask.request.clone(),
-            standing: standing(&ask),
-            until: [deadline, longest, patience].into_iter().flatten().min(),
+            priority: priority(&ask),
+            until: [deadline, queue_limit, queue_deadline]
+                .into_iter()
+                .flatten()
+                .min(),
             weight: ask.weight,
             work: work(&ask),
         });
         let waiting = Waiting {
             ask,
-            counted,
+            counter_key,
             deadline,
             delayed: Cell::default(),
             waiter: None,
@@ -191,7 +194,7 @@
     pub(super) fn refuse(
         &mut self,
         request: &str,
-        reason: impl Into<Reason>,
+        reason: impl Into<RefusalReason>,
         retry: Option<Duration>,
     ) {
         self.queue.remove(request);
@@ -200,10 +203,10 @@
         };
         let reason = reason.into();
         if reason.unmeetable.is_some() {
-            self.note_end(&waiting.ask, false);
+            self.record_outcome(&waiting.ask, false);
         }
-        if let Some(counted) = &waiting.counted {
-            self.limits.release(counted);
+        if let Some(counter_key) = &waiting.counter_key {
+            self.limits.release(counter_key);
         }
         if let Some(waiter) = waiting.waiter {
             // A receiver that is gone has no use for the verdict.
@@ -212,15 +215,15 @@
     }
 
     /// What the choice needs to know of a waiting ask.
-    pub(super) fn wanted_by<'a>(&'a self, waiting: &'a Waiting, now: Instant) -> Wanted<'a> {
+    pub(super) fn needs_of<'a>(&'a self, waiting: &'a Waiting, now: Instant) -> Requirements<'a> {
         let left = |until: Instant| until.saturating_duration_since(now);
-        self.wanted(&waiting.ask, waiting.deadline.map(left))
+        self.needs(&waiting.ask, waiting.deadline.map(left))
     }
 
     /// What the choice needs to know of an ask that has so much time left.
-    pub(super) fn wanted<'a>(&'a self, ask: &'a Ask, left: Option<Duration>) -> Wanted<'a> {
+    pub(super) fn needs<'a>(&'a self, ask: &'a Ask, left: Option<Duration>) -> Requirements<'a> {
         let whole = work(ask);
-        Wanted {
+        Requirements {
             block_tokens: self.cfg.block_tokens,
             data_centre: &self.cfg.data_centre,
             finish_within: finish_within(ask, left),
@@ -228,10 +231,10 @@
             lane: lane(ask),
             objective: ask.objective,
             prefix: &ask.prefix,
-            standing: standing(ask),
+            priority: priority(ask),
             tier: ask.tier,
             reservation: self.reservation(ask),
-            tiers_before: self.tiers.before(ask.tier),
+            tiers_before: self.tiers.count_before(ask.tier),
             work: Work {
                 decode: self.expected_decode(ask),
                 prefill: whole.prefill,
@@ -250,15 +253,15 @@
     }
 
     /// Notes whether an ask got a target. Resumed answers had one before.
-    pub(super) fn note_end(&mut self, ask: &Ask, served: bool) {
+    pub(super) fn record_outcome(&mut self, ask: &Ask, served: bool) {
         if ask.partial.is_none() {
-            self.tiers.note_end(ask.tier, served);
+            self.tiers.record_outcome(ask.tier, served);
         }
     }
 
     /// Tokens that a target is expected to generate for the ask.
     fn expected_decode(&self, ask: &Ask) -> u64 {
-        let usual = f64::from(ask.max_tokens) * self.length;
+        let usual = f64::from(ask.max_tokens) * self.length_ratio;
         match ask.partial {
             None => usual as u64,
             Some(partial) => {
@@ -274,20 +277,20 @@
         for target in self.targets.values_mut() {
             target.set_rate_limit(shares.get(&target.digest).copied(), now);
         }
-        self.note_opening();
+        self.note_capacity_change();
         self.dispatch(now);
     }
 
     /// The grant that this request holds.
-    pub(super) fn granted(&self, request: &str, ask: AskNumber) -> Verdict {
-        let held = &self.reservations[request];
+    pub(super) fn grant_verdict(&self, request: &str, ask: AskNumber) -> Verdict {
+        let active_grant = &self.active_grants[request];
         Verdict::Grant(Grant {
             ask,
             dispatcher: self.cfg.vm.clone(),
             dispatcher_incarnation: self.cfg.incarnation,
-            expected: Some(held.expected),
+            expected: Some(active_grant.expected),
             request: request.to_owned(),
-            target: held.target.clone(),
+            target: active_grant.target.clone(),
         })
     }
 }
@@ -303,7 +306,7 @@
     let partial = ask.partial?;
     let sooner = partial
         .remaining
-        .map(|remaining| remaining.mul_f64(MIGRATION_GAIN));
+        .map(|remaining| remaining.mul_f64(MIGRATION_TIME_RATIO));
     left.into_iter().chain(sooner).min()
 }
 
@@ -317,8 +320,8 @@
     }
 }
 
-pub(super) fn standing(ask: &Ask) -> Standing {
-    Standing {
+pub(super) fn priority(ask: &Ask) -> Priority {
+    Priority {
         rank: ask.rank,
         tier: ask.tier,
     }
@@ -329,7 +332,7 @@
         Lane::Resumed
     } else if !ask.exclusions.is_empty() {
         Lane::Excluding
-    } else if u64::from(ask.prompt_tokens) > choice::LONG_PROMPT {
+    } else if u64::from(ask.prompt_tokens) > choice::LONG_PROMPT_TOKENS {
         Lane::Long
     } else {
         Lane::Short
@@ -338,7 +341,7 @@
 
 pub(super) fn refusal_of(
     ask: &Ask,
-    reason: impl Into<Reason>,
+    reason: impl Into<RefusalReason>,
     retry_after: Option<Duration>,
 ) -> Refuse {
     let reason = reason.into();
@@ -353,7 +356,7 @@
 
 pub(super) fn refuse(
     ask: &Ask,
-    reason: impl Into<Reason>,
+    reason: impl Into<RefusalReason>,
     retry_after: Option<Duration>,
 ) -> Verdict {
     Verdict::Refuse(refusal_of(ask, reason, retry_after))
--- a/crates/lilaccrank/src/dispatch/status.rs
+++ b/crates/lilaccrank/src/dispatch/status.rs
@@ -65,7 +65,7 @@
 
 impl State {
     pub(super) fn status(&self, now: Instant) -> Status {
-        let tiers: BTreeSet<Tier> = self.queue.standings().map(|s| s.tier).collect();
+        let tiers: BTreeSet<Tier> = self.queue.priorities().map(|s| s.tier).collect();
         let waiting = tiers.into_iter().map(|tier| TierStatus {
             tier,
             waiting: self.queue.waiting(tier),
@@ -74,7 +74,7 @@
             let estimate = &target.estimate;
             TargetStatus {
                 born: target.life.born,
-                cached_blocks: self.affinity.blocks(&target.life),
+                cached_blocks: self.affinity.block_count(&target.life),
                 decode_outstanding: estimate.outstanding().decode,
                 health: target.health.state(),
                 id: target.life.id.clone(),
@@ -83,14 +83,14 @@
                 prefill_per_s: estimate.prefill_rate(now),
                 running: estimate.running(),
                 slowness: estimate.slowness(now),
-                slots: target.slots_now(now),
+                slots: target.effective_slots(now),
                 step: Duration::from_secs_f64(estimate.step(estimate.batch(now), now)),
             }
         });
         Status {
             drain_per_s: self.drain.per_s(now),
             handover: self.handover.is_some(),
-            running: self.reservations.len(),
+            running: self.active_grants.len(),
             targets: targets.collect(),
             waiting: waiting.collect(),
         }
--- a/crates/lilaccrank/src/dispatch/steps.rs
+++ b/crates/lilaccrank/src/dispatch/step_model.rs
@@ -3,61 +3,61 @@
 use std::time::{Duration, Instant};
 
 /// Weight that older samples keep when a new one comes.
-const KEEP: f64 = 0.99;
+const DECAY: f64 = 0.99;
 /// Weight of a new sample in the slowness.
 const SLOWNESS_GAIN: f64 = 0.3;
 /// Samples of a target's own history before it is judged by it.
-const JUDGED_AFTER: u32 = 16;
+const MIN_SAMPLES: u32 = 16;
 /// A sample this far off the history is taken into it with a tenth of the weight, so that a
 /// sudden slow-down doesn't become the history before it is noticed.
-const OUTLIER: f64 = 2.0;
+const OUTLIER_RATIO: f64 = 2.0;
 /// Weight of an outlier.
 const OUTLIER_WEIGHT: f64 = 0.1;
 /// Time after which half of the slowness is forgotten if no step is seen.
-const FORGET: Duration = Duration::from_secs(5);
+const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(5);
 /// Shortest step that is believed, in seconds.
-const SHORTEST: f64 = 1e-4;
+const MIN_STEP_S: f64 = 1e-4;
 /// What is assumed of a target that was never seen: batch and step in seconds.
-const ASSUMED: [(f64, f64); 2] = [(1.0, 0.008), (8.0, 0.010)];
+const INITIAL_SAMPLES: [(f64, f64); 2] = [(1.0, 0.008), (8.0, 0.010)];
 
 /// A weighted regression of step time over batch, and how far the last steps are off it.
 #[derive(Clone, Debug)]
-pub struct Steps {
+pub struct StepModel {
     batch: f64,
     batch_step: f64,
     batch_square: f64,
     samples: u32,
-    seen: Instant,
+    updated: Instant,
     slowness: f64,
     step: f64,
     weight: f64,
 }
 
-impl Steps {
+impl StepModel {
     /// A target that was never seen.
     #[must_use]
     pub fn new(now: Instant) -> Self {
-        let mut steps = Self {
+        let mut step_model = Self {
             batch: 0.0,
             batch_step: 0.0,
             batch_square: 0.0,
             samples: 0,
-            seen: now,
+            updated: now,
             slowness: 1.0,
             step: 0.0,
             weight: 0.0,
         };
-        for (batch, step) in ASSUMED {
-            steps.add(batch, step, 1.0);
+        for (batch, step) in INITIAL_SAMPLES {
+            step_model.add(batch, step, 1.0);
         }
-        steps
+        step_model
     }
 
     /// The same history, of a target that was not seen slow.
     #[must_use]
     pub fn without_slowness(&self, now: Instant) -> Self {
         Self {
-            seen: now,
+            updated: now,
             slowness: 1.0,
             ..self.clone()
         }
@@ -65,25 +65,29 @@
 
     /// Takes in one observed step.
     pub fn observe(&mut self, batch: u32, step: Duration, now: Instant) {
-        let (batch, step) = (f64::from(batch), step.as_secs_f64().max(SHORTEST));
-        let ratio = step / self.usual(batch);
-        if self.samples < JUDGED_AFTER {
+        let (batch, step) = (f64::from(batch), step.as_secs_f64().max(MIN_STEP_S));
+        let ratio = step / self.baseline(batch);
+        if self.samples < MIN_SAMPLES {
             self.add(batch, step, 1.0);
             self.samples += 1;
-            self.seen = now;
+            self.updated = now;
             return;
         }
         let slowness = self.slowness(now);
         self.slowness = (slowness + SLOWNESS_GAIN * (ratio - slowness)).max(1.0);
-        self.seen = now;
-        let weight = if ratio > OUTLIER { OUTLIER_WEIGHT } else { 1.0 };
+        self.updated = now;
+        let weight = if ratio > OUTLIER_RATIO {
+            OUTLIER_WEIGHT
+        } else {
+            1.0
+        };
         self.add(batch, step, weight);
     }
 
     /// Expected step time in seconds at a batch.
     #[must_use]
     pub fn expected(&self, batch: u32, now: Instant) -> f64 {
-        self.usual(f64::from(batch)) * self.slowness(now)
+        self.baseline(f64::from(batch)) * self.slowness(now)
     }
 
     /// How many times slower than its own history the target is, at least 1. Half is forgotten
@@ -94,28 +98,32 @@
         if self.slowness <= 1.0 {
             return 1.0;
         }
-        let since = now.saturating_duration_since(self.seen).as_secs_f64();
-        1.0 + (self.slowness - 1.0) * (-since / FORGET.as_secs_f64()).exp2()
+        let since = now.saturating_duration_since(self.updated).as_secs_f64();
+        1.0 + (self.slowness - 1.0) * (-since / SLOWNESS_HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    fn usual(&self, batch: f64) -> f64 {
+    fn baseline(&self, batch: f64) -> f64 {
         let mean_batch = self.batch / self.weight;
         let mean_step = self.step / self.weight;
-        let spread = self.batch_square / self.weight - mean_batch * mean_batch;
-        let common = self.batch_step / self.weight - mean_batch * mean_step;
-        let slope = if spread > 1e-6 { common / spread } else { 0.0 };
+        let variance = self.batch_square / self.weight - mean_batch * mean_batch;
+        let covariance = self.batch_step / self.weight - mean_batch * mean_step;
+        let slope = if variance > 1e-6 {
+            covariance / variance
+        } else {
+            0.0
+        };
         // A negative slope is noise, and a steep one would give a step below zero at batch 1.
         let slope = slope.clamp(0.0, mean_step / mean_batch.max(1.0));
-        (mean_step + slope * (batch - mean_batch)).max(SHORTEST)
+        (mean_step + slope * (batch - mean_batch)).max(MIN_STEP_S)
     }
 
     fn add(&mut self, batch: f64, step: f64, weight: f64) {
-        let keep = if weight < 1.0 { 1.0 } else { KEEP };
-        let into = |sum: &mut f64, value: f64| *sum = *sum * keep + value * weight;
-        into(&mut self.weight, 1.0);
-        into(&mut self.batch, batch);
-        into(&mut self.step, step);
-        into(&mut self.batch_step, batch * step);
-        into(&mut self.batch_square, batch * batch);
+        let keep = if weight < 1.0 { 1.0 } else { DECAY };
+        let accumulate = |sum: &mut f64, value: f64| *sum = *sum * keep + value * weight;
+        accumulate(&mut self.weight, 1.0);
+        accumulate(&mut self.batch, batch);
+        accumulate(&mut self.step, step);
+        accumulate(&mut self.batch_step, batch * step);
+        accumulate(&mut self.batch_square, batch * batch);
     }
 }
--- a/crates/lilaccrank/src/dispatch/target.rs
+++ b/crates/lilaccrank/src/dispatch/target.rs
@@ -4,7 +4,7 @@
 
 use super::estimate::Estimate;
 use super::health::Health;
-use super::queue::Standing;
+use super::queue::Priority;
 use super::rate_limit::{RateLimit, Share};
 use crate::ids::DataCentre;
 use crate::target_life::{LifeDigest, TargetLife};
@@ -15,21 +15,21 @@
 /// most of these asks would wait in the target's own queue, which knows no tiers: under a burst one
 /// grant in three went to a target that was full already. The first daemon's grant is told within 25
 /// milliseconds; should it not want the room after all, a slot stands empty for these few.
-const LEFT_TO_FIRST: Duration = Duration::from_millis(40);
+const FREED_SLOT_HOLD: Duration = Duration::from_millis(40);
 
 /// The first of the asks that wait at other daemons.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Rival {
+pub struct PeerWaiter {
     /// Whether it goes before asks of this daemon with the same standing, by a draw for each target.
-    pub goes_before_equals: bool,
+    pub wins_ties: bool,
     /// Where it stands.
-    pub standing: Standing,
+    pub priority: Priority,
 }
 
-impl Rival {
+impl PeerWaiter {
     /// Whether it goes before an ask of this daemon.
-    fn goes_before(self, standing: Standing) -> bool {
-        self.standing < standing || (self.standing == standing && self.goes_before_equals)
+    fn precedes(self, priority: Priority) -> bool {
+        self.priority < priority || (self.priority == priority && self.wins_ties)
     }
 }
 
@@ -49,19 +49,19 @@
     /// Whether it may get new work.
     pub live: bool,
     /// Long prompts sent whose first token has not come.
-    pub long: u32,
+    pub long_prefills: u32,
     /// When another daemon last gave room back, and who waited elsewhere then.
-    pub(super) opened: Option<(Instant, Rival)>,
+    pub(super) freed_by_peer: Option<(Instant, PeerWaiter)>,
     /// The cell's share of the rate that the target advertises.
     pub rate_limit: Option<RateLimit>,
     /// The first of the asks that wait at other daemons of the cell.
-    pub rival: Option<Rival>,
+    pub peer_waiter: Option<PeerWaiter>,
     /// Running count of this daemon's requests to it.
     pub sent: u32,
     /// Requests it runs at once.
     pub slots: u32,
     /// Number of the last grant, over all targets.
-    pub turn: u64,
+    pub grant_sequence: u64,
 }
 
 impl Target {
@@ -75,19 +75,19 @@
             data_centre: DataCentre::default(),
             life,
             live: true,
-            long: 0,
-            opened: None,
+            long_prefills: 0,
+            freed_by_peer: None,
             rate_limit: None,
-            rival: None,
+            peer_waiter: None,
             sent: 0,
             slots,
-            turn: 0,
+            grant_sequence: 0,
         }
     }
 
     /// A target that is known only from a request that runs there.
     #[must_use]
-    pub fn leaving(life: TargetLife, now: Instant) -> Self {
+    pub fn unlisted(life: TargetLife, now: Instant) -> Self {
         Self {
             live: false,
             ..Self::new(life, 0, now)
@@ -117,13 +117,15 @@
     #[must_use]
     pub fn is_within_rate_limit(
         &self,
-        standing: Standing,
-        left_to_tiers: u32,
+        priority: Priority,
+        reserved_for_tiers: u32,
         now: Instant,
     ) -> bool {
         self.rate_limit.is_none_or(|limit| {
-            let rival = self.rival.is_some_and(|rival| rival.goes_before(standing));
-            limit.allows(left_to_tiers + u32::from(rival), now)
+            let peer_waiter = self
+                .peer_waiter
+                .is_some_and(|peer_waiter| peer_waiter.precedes(priority));
+            limit.allows(reserved_for_tiers + u32::from(peer_waiter), now)
         })
     }
 
@@ -134,23 +136,23 @@
         }
     }
 
-    /// Another daemon gave room back while `rival` waited elsewhere.
-    pub fn opened(&mut self, rival: Option<Rival>, now: Instant) {
-        self.opened = rival.map(|rival| (now, rival));
+    /// Another daemon gave room back while `peer_waiter` waited elsewhere.
+    pub fn freed_by_peer(&mut self, peer_waiter: Option<PeerWaiter>, now: Instant) {
+        self.freed_by_peer = peer_waiter.map(|peer_waiter| (now, peer_waiter));
     }
 
     /// Whether room that another daemon has just given back is left to an ask of a third one.
     #[must_use]
-    pub fn is_left_to_rival(&self, standing: Standing, now: Instant) -> bool {
-        self.opened.is_some_and(|(at, rival)| {
-            rival.goes_before(standing) && now.saturating_duration_since(at) < LEFT_TO_FIRST
+    pub fn is_held_for_peer(&self, priority: Priority, now: Instant) -> bool {
+        self.freed_by_peer.is_some_and(|(at, peer_waiter)| {
+            peer_waiter.precedes(priority) && now.saturating_duration_since(at) < FREED_SLOT_HOLD
         })
     }
 
     /// Slots that are used at its present speed: a slowed target gets less, but at least one
     /// request, by which it can show that it is well again.
     #[must_use]
-    pub fn slots_now(&self, now: Instant) -> u32 {
+    pub fn effective_slots(&self, now: Instant) -> u32 {
         let slowness = self.estimate.slowness(now);
         if slowness <= 1.0 {
             return self.slots;
--- a/crates/lilaccrank/src/dispatch/tiers.rs
+++ b/crates/lilaccrank/src/dispatch/tiers.rs
@@ -8,7 +8,7 @@
 
 /// Time after which a tier without requests no longer counts: urgent work may be rare, and still has to
 /// find room when it comes.
-const FORGOTTEN: Duration = Duration::from_secs(600);
+const TIER_TTL: Duration = Duration::from_secs(600);
 /// Weight of a new request in a tier's usual objective.
 const OBJECTIVE_GAIN: f64 = 0.1;
 /// Weight of a new request in the share of a tier that is served.
@@ -26,30 +26,31 @@
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     objective: Duration,
-    seen: Instant,
+    last_request: Instant,
     /// Share of its requests that got a target, from 0 to 1.
     served: f64,
 }
 
 impl Tiers {
     /// Notes a request of a tier; without an objective it counts as one that can't wait.
-    pub(super) fn note(&mut self, tier: Tier, objective: Option<Duration>, now: Instant) {
+    pub(super) fn record_request(&mut self, tier: Tier, objective: Option<Duration>, now: Instant) {
         let objective = objective.unwrap_or_default();
         let usage = self.tiers.entry(tier).or_insert(Usage {
             objective,
-            seen: now,
+            last_request: now,
             served: 1.0,
         });
-        usage.seen = now;
+        usage.last_request = now;
         usage.objective =
             usage.objective.mul_f64(1.0 - OBJECTIVE_GAIN) + objective.mul_f64(OBJECTIVE_GAIN);
-        let lives = |usage: &Usage| now.saturating_duration_since(usage.seen) < FORGOTTEN;
-        self.tiers.retain(|_, usage| lives(usage));
+        let is_recent =
+            |usage: &Usage| now.saturating_duration_since(usage.last_request) < TIER_TTL;
+        self.tiers.retain(|_, usage| is_recent(usage));
         self.tiers.sort_unstable_keys();
     }
 
     /// Notes whether a request of a tier got a target.
-    pub(super) fn note_end(&mut self, tier: Tier, served: bool) {
+    pub(super) fn record_outcome(&mut self, tier: Tier, served: bool) {
         if let Some(usage) = self.tiers.get_mut(&tier) {
             let sample = f64::from(u8::from(served));
             usage.served += SERVED_GAIN * (sample - usage.served);
@@ -57,7 +58,7 @@
     }
 
     /// Number of the tiers before this one.
-    pub(super) fn before(&self, tier: Tier) -> usize {
+    pub(super) fn count_before(&self, tier: Tier) -> usize {
         self.usages_before(tier).count()
     }
 
@@ -73,7 +74,10 @@
     }
 
     fn usages_before(&self, tier: Tier) -> impl Iterator<Item = &Usage> + '_ {
-        let before = self.tiers.iter().take_while(move |(seen, _)| **seen < tier);
+        let before = self
+            .tiers
+            .iter()
+            .take_while(move |(other, _)| **other < tier);
         before.map(|(_, usage)| usage)
     }
 }
--- a/crates/lilaccrank/tests/suite/dispatch_cases.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_cases.rs
@@ -97,7 +97,7 @@
 }
 
 pub fn tell(harness: &Harness, from: &str, digest: Digest) {
-    harness.dispatcher.take_digest(&from.to_owned(), digest);
+    harness.dispatcher.apply_digest(&from.to_owned(), digest);
 }
 
 /// An ask whose caller expects a first token.
--- a/crates/lilaccrank/tests/suite/dispatch_harness.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_harness.rs
@@ -29,19 +29,19 @@
 
 impl Harness {
     /// A dispatcher of targets `t0`, `t1` and so on with these slots.
-    pub fn new(slots: &[u32], waiting_limit: usize, silence_floor: Duration) -> Self {
-        Self::of("vm1", slots, waiting_limit, silence_floor)
+    pub fn new(slots: &[u32], waiting_limit: usize, min_hang_timeout: Duration) -> Self {
+        Self::of("vm1", slots, waiting_limit, min_hang_timeout)
     }
 
     /// The same on a vm of another name.
-    pub fn of(vm: &str, slots: &[u32], waiting_limit: usize, silence_floor: Duration) -> Self {
+    pub fn of(vm: &str, slots: &[u32], waiting_limit: usize, min_hang_timeout: Duration) -> Self {
         let clock = PausedClock::new();
         let cfg = Config {
             block_tokens: 64,
             data_centre: DATA_CENTRE.to_owned(),
             incarnation: 1,
             lowest_tier: LOWEST_TIER,
-            silence_floor,
+            min_hang_timeout,
             vm: vm.to_owned(),
             waiting_limit,
         };
--- a/crates/lilaccrank/tests/suite/dispatch_inputs.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_inputs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilaccrank::dispatch::message::{Ask, LoadReport, ReportKind};
-use lilaccrank::dispatch::sharing::{Digest, Sample, Seen, TargetLoad};
+use lilaccrank::dispatch::sharing::{Digest, Observation, Sample, TargetLoad};
 use lilaccrank::target_life::TargetLife;
 use quickcheck::{Arbitrary, Gen};
 
@@ -33,16 +33,16 @@
             target: TargetLife::from("t0").digest(),
         };
         let sample = |g: &mut Gen| Sample {
-            seen: match u8::arbitrary(g) % 3 {
-                0 => Seen::FirstToken {
+            observation: match u8::arbitrary(g) % 3 {
+                0 => Observation::FirstToken {
                     after: time(g),
-                    before: extreme(g),
+                    prefill_ahead: extreme(g),
                 },
-                1 => Seen::Step {
+                1 => Observation::Step {
                     batch: extreme(g) as u32,
                     step: time(g),
                 },
-                _ => Seen::Failed,
+                _ => Observation::Failed,
             },
             target: TargetLife::from("t0").digest(),
         };
@@ -80,7 +80,7 @@
     fn holds(told: Vec<Told>, asked: Asked) -> bool {
         let mut harness = harness(&[4, 4]);
         for Told(digest) in told {
-            harness.dispatcher.take_digest(&"vm2".to_owned(), digest);
+            harness.dispatcher.apply_digest(&"vm2".to_owned(), digest);
         }
         harness.ask(asked.0);
         harness.advance(Duration::from_secs(3));
--- a/crates/lilaccrank/tests/suite/dispatch_lives.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_lives.rs
@@ -4,7 +4,7 @@
 
 use lilaccrank::dispatch::health::State;
 use lilaccrank::dispatch::message::{CacheEvent, ReportKind};
-use lilaccrank::dispatch::sharing::{Digest, Sample, Seen, TargetLoad};
+use lilaccrank::dispatch::sharing::{Digest, Observation, Sample, TargetLoad};
 use lilaccrank::target_life::TargetLife;
 
 use crate::dispatch_cases::{ask, granted, harness};
@@ -50,7 +50,7 @@
         }],
         samples: vec![
             Sample {
-                seen: Seen::Failed,
+                observation: Observation::Failed,
                 target: old,
             };
             5
@@ -59,7 +59,7 @@
         waiting: None,
         whole: true,
     };
-    harness.dispatcher.take_digest(&"vm2".to_owned(), hung);
+    harness.dispatcher.apply_digest(&"vm2".to_owned(), hung);
     harness.ask(ask("new", 0));
     assert_eq!(harness.grants(), granted("new", "t0"));
 }
--- a/crates/lilaccrank/tests/suite/dispatch_overload.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_overload.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
+use lilaccrank::dispatch::drain_rate::DrainRate;
 use lilaccrank::dispatch::message::{Ask, Outcome, ReportKind, Verdict};
-use lilaccrank::dispatch::shedding::DrainRate;
 use lilaccrank::document::Limit;
 use lilaccrank::error_kind::ErrorKind;
 
@@ -280,7 +280,7 @@
     let mut drain = DrainRate::new(0, start);
     let seconds = (1..=30).map(|i| start + Duration::from_secs(i));
     for now in seconds {
-        drain.ended(1000, now);
+        drain.record_end(1000, now);
     }
     let now = start + Duration::from_secs(30);
     let retry = drain.retry_after(10_000, 0.0, now).as_secs_f64();
--- a/crates/lilaccrank/tests/suite/dispatch_sharing.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_sharing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilaccrank::dispatch::message::{Ask, Outcome, ReportKind};
-use lilaccrank::dispatch::sharing::{Digest, Sample, Seen};
+use lilaccrank::dispatch::sharing::{Digest, Observation, Sample};
 
 use crate::dispatch_cases::{
     FIRST_TOKEN, ask, digest, granted, harness, hurried, nothing, of, tell,
@@ -53,7 +53,7 @@
 fn what_peers_see_of_a_target_is_learnt() {
     let mut harness = harness(&[8, 8]);
     let slow = Sample {
-        seen: Seen::Step {
+        observation: Observation::Step {
             batch: 1,
             step: Duration::from_millis(100),
         },
@@ -80,7 +80,7 @@
 fn failures_of_peers_count() {
     let mut harness = harness(&[8, 8]);
     let failed = Sample {
-        seen: Seen::Failed,
+        observation: Observation::Failed,
         target: of("t0"),
     };
     for peer in ["vm2", "vm3", "vm4"] {
@@ -109,7 +109,10 @@
     let digest = harness.dispatcher.digest();
     let loads: Vec<_> = digest.loads.iter().map(|l| (l.target, l.running)).collect();
     assert_eq!(loads, [(of("t0"), 1)]);
-    assert!(matches!(digest.samples[0].seen, Seen::FirstToken { .. }));
+    assert!(matches!(
+        digest.samples[0].observation,
+        Observation::FirstToken { .. }
+    ));
     assert_eq!(harness.dispatcher.digest().samples, []);
     let kind = ReportKind::Ended {
         decoded: 5,
@@ -175,11 +178,11 @@
     for request in ["a", "b", "c", "d", "e"] {
         harness.ask(hurried(request, 0));
         harness.verdicts();
-        urgent.push(harness.dispatcher.is_news_urgent());
+        urgent.push(harness.dispatcher.has_urgent_changes());
         let _ = harness.dispatcher.digest();
     }
     // From the second on two slots are left or less; "e" waits.
     assert_eq!(urgent, [false, true, true, true, true]);
     harness.end("a", "t0");
-    assert!(harness.dispatcher.is_news_urgent());
+    assert!(harness.dispatcher.has_urgent_changes());
 }
--- a/crates/lilaccrank/tests/suite/dispatch_spread.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_spread.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 use lilaccrank::cells;
-use lilaccrank::dispatch::queue::Standing;
+use lilaccrank::dispatch::queue::Priority;
 use lilaccrank::dispatch::sharing::{Digest, TargetLoad};
 use lilaccrank::document::Target;
 
@@ -125,7 +125,7 @@
     tell(&harness, "holder", digest("t0", 1, 100));
     harness.ask(hurried("report", 1));
     let told = Digest {
-        waiting: Some(Standing::default()),
+        waiting: Some(Priority::default()),
         ..Digest::default()
     };
     tell(&harness, "vm2", told);
--- a/crates/lilaccrank/tests/suite/pool_model/placed.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/placed.rs
@@ -74,7 +74,7 @@
                 data_centre: String::new(),
                 incarnation: 1,
                 lowest_tier: 2,
-                silence_floor: Duration::from_millis(500),
+                min_hang_timeout: Duration::from_millis(500),
                 vm: format!("vm{number}"),
                 waiting_limit: 500,
             };
@@ -108,7 +108,7 @@
             let digest = dispatcher.digest();
             for (to, other) in self.daemons.iter().enumerate() {
                 if from != to {
-                    other.take_digest(&format!("vm{from}"), digest.clone());
+                    other.apply_digest(&format!("vm{from}"), digest.clone());
                 }
             }
         }
--- a/crates/lilaccrank/tests/suite/rate_limit.rs
+++ b/crates/lilaccrank/tests/suite/rate_limit.rs
@@ -163,7 +163,7 @@
             {
                 daemon
                     .dispatcher
-                    .take_digest(&format!("vm-{from}"), digest.clone());
+                    .apply_digest(&format!("vm-{from}"), digest.clone());
             }
         }
     }
--- a/crates/lilaccrankd/src/pools/server.rs
+++ b/crates/lilaccrankd/src/pools/server.rs
@@ -102,7 +102,7 @@
         }
         PoolMessage::Verdict { .. } => {}
     }
-    let is_urgent = served.dispatcher.is_news_urgent();
+    let is_urgent = served.dispatcher.has_urgent_changes();
     daemon.load_exchange.note_change(is_urgent);
     PoolReply::Accepted {
         waiting: served.dispatcher.waiting(),
@@ -129,7 +129,7 @@
         return;
     }
     if let Verdict::Grant(grant) = &verdict {
-        let is_urgent = served.dispatcher.is_news_urgent();
+        let is_urgent = served.dispatcher.has_urgent_changes();
         daemon.load_exchange.note_change(is_urgent);
         let subject = Subject {
             detail: format!("by the dispatcher of pool {}", served.pool),
@@ -204,7 +204,7 @@
 fn begin(daemon: &Rc<Daemon>, pool: &PoolId, me: MemberRef) -> Option<Rc<Served>> {
     let in_force = daemon.in_force().ok()?;
     let configured = in_force.document.pool(pool)?;
-    let silence_floor = match configured.kind {
+    let min_hang_timeout = match configured.kind {
         PoolKind::Engine => ENGINE_SILENCE,
         PoolKind::Service => SERVICE_SILENCE,
     };
@@ -215,7 +215,7 @@
             data_centre: daemon.cfg.data_centre.clone(),
             incarnation: me.incarnation,
             lowest_tier: lowest_tier(&in_force.document),
-            silence_floor,
+            min_hang_timeout,
             vm: me.vm.clone(),
             waiting_limit: configured.waiting_limit,
         },
@@ -367,7 +367,7 @@
 /// Takes in what another daemon has on the targets of a pool.
 pub fn take_digest(daemon: &Rc<Daemon>, pool: &PoolId, from: &VmId, digest: Digest) {
     if let Some(served) = served(daemon, pool) {
-        served.dispatcher.take_digest(from, digest);
+        served.dispatcher.apply_digest(from, digest);
     }
 }
 
--- a/crates/lilaccrankd/tests/suite/load_message.rs
+++ b/crates/lilaccrankd/tests/suite/load_message.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use lilaccrank::cells::CellId;
-use lilaccrank::dispatch::sharing::{Digest, Sample, Seen, TargetLoad};
+use lilaccrank::dispatch::sharing::{Digest, Observation, Sample, TargetLoad};
 use lilaccrank::membership::{Member, State};
 use lilaccrank::quota::{CellDemand, Spent};
 use lilaccrankd::peers::load_message::{self, Error, LoadMessage};
@@ -34,13 +34,16 @@
         running: 3,
         target: 77,
     };
-    let seen = Seen::Step {
+    let observation = Observation::Step {
         batch: 4,
         step: Duration::from_millis(9),
     };
     let digest = Digest {
         loads: vec![load],
-        samples: vec![Sample { seen, target: 77 }],
+        samples: vec![Sample {
+            observation,
+            target: 77,
+        }],
         ..Digest::default()
     };
     let rates = vec![(load_message::customer("hotel"), 3_000)];
