--- a/crates/lilaccrank/src/dispatch.rs
+++ b/crates/lilaccrank/src/dispatch.rs
@@ -1,8 +1,8 @@
-//! The dispatcher of a pool in one data centre: one queue, and the slots of its targets.
+//! Dispatcher of a pool: admits, queues and assigns requests to the slots of its targets.
 //!
-//! Entry daemons own their requests and ask for a target; bodies never pass through here. One
-//! queue per pool is what makes it decidable that no higher tier is shed while lower-tier work
-//! is kept. All state is soft and is told anew by the entries after a change of dispatcher.
+//! Entry daemons own their requests and ask the dispatcher for a target; request bodies never pass
+//! through it. A single queue per pool guarantees that no higher tier is shed while lower-tier work
+//! is kept. All state is soft: after a change of dispatcher the entry daemons send it again.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -53,30 +53,30 @@
 use state::{State, WaiterId};
 use status::Status;
 
-/// Time between checks of deadlines and of silent targets.
+/// Interval between checks of deadlines, the handover and silent targets.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Settings of a dispatcher.
+/// Settings of a [`Dispatcher`].
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Tokens in one block of the prefix digests.
+    /// Tokens per block of the prefix digests.
     pub block_tokens: u32,
-    /// Where this daemon runs; targets elsewhere are far.
+    /// Data centre of this daemon; targets elsewhere lose ties.
     pub data_centre: DataCentre,
-    /// Life of this daemon.
+    /// Incarnation of this daemon.
     pub incarnation: Incarnation,
-    /// The last tier of the configuration, the only one shed during a handover.
+    /// Lowest tier of the configuration, the only one shed during a handover.
     pub lowest_tier: Tier,
-    /// Shortest silence of a target with running requests that counts as a hang. Model engines
-    /// produce tokens all the time, a plain service is silent while it works.
+    /// Minimum time without output after which a target with running requests counts as hung. Model
+    /// engines emit tokens continuously, but a plain service is silent while it works.
     pub min_hang_timeout: Duration,
-    /// This daemon.
+    /// VM of this daemon.
     pub vm: VmId,
-    /// Most asks that wait; [`Dispatcher::set_targets`] sets it from the pool.
+    /// Maximum queue length in asks; [`Dispatcher::set_targets`] sets it from the pool.
     pub waiting_limit: usize,
 }
 
-/// The dispatcher of one pool; clones are handles to the same one.
+/// Dispatcher of one pool; clones are handles to the same dispatcher.
 #[derive(Clone)]
 pub struct Dispatcher<C: Clock> {
     clock: C,
@@ -84,7 +84,7 @@
 }
 
 impl<C: Clock> Dispatcher<C> {
-    /// A dispatcher without targets, which refuses everything until it has some.
+    /// Creates a dispatcher without targets, which refuses every ask until it has some.
     #[must_use]
     pub fn new(clock: C, cfg: Config) -> Self {
         let state = State::new(cfg, clock.now());
@@ -94,8 +94,9 @@
         }
     }
 
-    /// Waits for a verdict. Dropping the future takes the ask back. A repeated ask with a higher
-    /// number replaces the earlier one; one with the same number gets the same verdict.
+    /// Submits an ask and waits for its verdict. Dropping the future cancels the ask. A repeated
+    /// ask with a higher number replaces the earlier one; one with the same number gets the same
+    /// verdict.
     pub async fn ask(&self, ask: Ask) -> Verdict {
         let (request, number) = (ask.request.clone(), ask.ask);
         let admission = self.state.borrow_mut().ask(ask, self.clock.now());
@@ -126,61 +127,62 @@
         })
     }
 
-    /// Takes back an ask or the grant that it got.
+    /// Cancels an ask, whether it is waiting or already granted.
     pub fn cancel(&self, cancel: &Cancel) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         state.cancel(&cancel.request, cancel.ask, now);
     }
 
-    /// Takes in what an entry saw of a granted request.
+    /// Processes an entry daemon's report on a granted request.
     pub fn report(&self, report: &Report) {
         self.state.borrow_mut().report(report, self.clock.now());
     }
 
-    /// Takes over the pool's targets in this data centre. A target that drains or is gone gets
-    /// nothing from this call on.
+    /// Replaces the target list with the pool's targets in `data_centre`. From this call on,
+    /// targets that are draining or no longer listed get no new work.
     pub fn set_targets(&self, pool: &Pool, data_centre: &str) {
         self.set_targets_where(pool, |other| other == data_centre);
     }
 
-    /// Like [`set_targets`](Self::set_targets), for all data centres that are `is_near`.
+    /// Like [`set_targets`](Self::set_targets), for all data centres that `is_near` accepts.
     pub fn set_targets_where(&self, pool: &Pool, is_near: impl Fn(&str) -> bool) {
         let now = self.clock.now();
         self.state.borrow_mut().set_targets(pool, is_near, now);
     }
 
-    /// Sets the cell's shares of the rates that targets advertise; all other targets have no limit.
+    /// Sets the cell's shares of the rate limits that targets advertise; targets that are not
+    /// listed have no limit.
     pub fn set_rate_limits(&self, shares: &IndexMap<LifeDigest, Share>) {
         let now = self.clock.now();
         self.state.borrow_mut().set_rate_limits(shares, now);
     }
 
-    /// Takes in a target's own report of its load.
+    /// Processes a target's own load report.
     pub fn load_report(&self, target: &TargetLife, report: LoadReport) {
         let now = self.clock.now();
         self.state.borrow_mut().load_report(target, report, now);
     }
 
-    /// Takes in a batch of cache events; `sequence` numbers the batches of one target.
+    /// Applies a batch of cache events; `sequence` numbers the batches of one target without gaps.
     pub fn cache_events(&self, target: &TargetLife, sequence: u64, events: &[CacheEvent]) {
         let mut state = self.state.borrow_mut();
         state.cache_events(target, sequence, events);
     }
 
-    /// Takes in all that one entry has with this pool.
+    /// Replaces the state of one entry daemon with its current waiting and running requests.
     pub fn resync(&self, resync: Resync) {
         self.state.borrow_mut().resync(resync, self.clock.now());
     }
 
-    /// Starts as a new dispatcher: nothing is granted until all `expected` entries have resynced
-    /// or `grace` is over.
+    /// Starts a handover: nothing is granted until all `expected` entry daemons have resynced or
+    /// `grace` has elapsed.
     pub fn begin_handover(&self, expected: Vec<Entry>, grace: Duration) {
         let now = self.clock.now();
         self.state.borrow_mut().begin_handover(expected, grace, now);
     }
 
-    /// Drops all that a dead entry had.
+    /// Removes all asks and grants of an entry daemon that has failed.
     pub fn forget_entry(&self, vm: &VmId, incarnation: Incarnation) {
         let entry = Entry {
             incarnation,
@@ -190,38 +192,38 @@
         self.state.borrow_mut().forget_entry(&entry, now);
     }
 
-    /// What the daemons that dispatch the same pool are to know of what this one has on the targets.
-    /// What was seen of targets is told once.
+    /// Builds the digest of this daemon's load for the other dispatchers of the pool. Samples are
+    /// included in one digest only.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.state.borrow_mut().digest(self.clock.now())
     }
 
-    /// Whether something has changed since the last digest that decides where others send.
+    /// Returns `true` if a change since the last digest affects where other daemons send requests.
     #[must_use]
     pub fn has_urgent_changes(&self) -> bool {
         self.state.borrow().has_urgent_changes()
     }
 
-    /// Takes in what another daemon has on the targets.
+    /// Applies another daemon's digest.
     pub fn apply_digest(&self, from: &VmId, digest: Digest) {
         let now = self.clock.now();
         self.state.borrow_mut().apply_digest(from, digest, now);
     }
 
-    /// State for operators.
+    /// Returns the dispatcher's state for operators.
     #[must_use]
     pub fn status(&self) -> Status {
         self.state.borrow().status(self.clock.now())
     }
 
-    /// Asks without a verdict.
+    /// Number of asks in the queue.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.state.borrow().queue.len()
     }
 
-    /// Checks deadlines, handover and silent targets, for ever.
+    /// Runs the periodic checks of deadlines, handover, peers and target health; never returns.
     pub async fn run(&self) {
         loop {
             self.clock.sleep(TICK).await;
@@ -237,10 +239,10 @@
     }
 }
 
-/// Takes an ask back if its call ends early.
+/// Cancels an ask if its call is dropped.
 ///
-/// A caller that goes away drops the call; without the guard its ask would still be granted, and
-/// a slot would stay taken by a request that nobody sends.
+/// Without it, the ask of a caller that has disconnected would still be granted, and would occupy a
+/// slot for a request that nobody sends.
 struct Guard<'a, C: Clock> {
     ask: AskNumber,
     dispatcher: &'a Dispatcher<C>,
--- a/crates/lilaccrank/src/dispatch/admission.rs
+++ b/crates/lilaccrank/src/dispatch/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of asks: what is decided at once, and what waits.
+//! Admission control: decides an ask at once or puts it into the queue.
 
 use std::time::Instant;
 
@@ -11,17 +11,17 @@
 use crate::error_kind::ErrorKind;
 use crate::prompt;
 
-/// Most exclusions of one ask that are kept.
+/// Maximum number of exclusions kept per ask.
 const EXCLUSIONS_LIMIT: usize = 32;
 
-/// Result of an ask.
+/// Result of submitting an ask.
 pub(super) enum Admission {
     Decided(Verdict),
     Queued(WaiterId, oneshot::Receiver<Verdict>),
 }
 
 impl State {
-    /// Takes in an ask and decides what can be decided at once.
+    /// Decides an ask at once if possible, and enqueues it otherwise.
     pub(super) fn ask(&mut self, mut ask: Ask, now: Instant) -> Admission {
         ask.exclusions.truncate(EXCLUSIONS_LIMIT);
         self.tiers.record_request(ask.tier, ask.objective, now);
@@ -47,7 +47,8 @@
                 let request = ask.request.clone();
                 self.enqueue(ask, counter_key, now);
                 let admission = self.attach(&request);
-                // What finds an open target costs no place in the queue.
+                // Dispatch before shedding: an ask that is granted at once takes no place in the
+                // queue.
                 self.dispatch(now);
                 self.shed(now);
                 admission
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Takes back an ask, waiting or granted, and those before it.
+    /// Cancels the ask with this number and all earlier ones of the request, waiting or granted.
     pub(super) fn cancel(&mut self, request: &str, ask: AskNumber, now: Instant) {
         if self.waiting.get(request).is_some_and(|w| w.ask.ask <= ask) {
             self.refuse(request, ErrorKind::Cancelled, None);
@@ -71,7 +72,8 @@
         self.dispatch(now);
     }
 
-    /// The call of a waiter has ended before it had its verdict.
+    /// Cancels a waiting ask whose call was dropped before its verdict. A later call for the same
+    /// ask is not affected.
     pub(super) fn abandon(&mut self, request: &str, waiter: WaiterId, now: Instant) {
         let waiting = self.waiting.get(request);
         let current = waiting.and_then(|waiting| waiting.waiter.as_ref());
@@ -96,7 +98,8 @@
         Admission::Queued(id, rx)
     }
 
-    /// Ends the earlier ask of a request and keeps its place under the limits.
+    /// Ends the earlier ask of a request and returns its counter key, so that the new ask keeps its
+    /// place under the limits.
     fn supersede(&mut self, request: &str, now: Instant) -> Option<CounterKey> {
         let counter_key = match self.waiting.get_mut(request) {
             Some(waiting) => waiting.counter_key.take(),
@@ -129,8 +132,9 @@
         })
     }
 
-    /// Whether an ask with an objective would most likely wait for nothing: see [`super::wait_outcomes`].
-    /// Those of the first tier always wait, since whatever comes free is theirs.
+    /// Returns `true` if an ask with an objective would most likely time out in the queue, see
+    /// [`super::wait_outcomes`]. Asks of the first tier always wait, since they get every slot that
+    /// becomes free.
     fn is_tier_starved(&self, ask: &Ask, now: Instant) -> bool {
         if ask.objective.is_none()
             || ask.partial.is_some()
--- a/crates/lilaccrank/src/dispatch/affinity.rs
+++ b/crates/lilaccrank/src/dispatch/affinity.rs
@@ -1,9 +1,10 @@
-//! Which target probably holds which prefix in its cache.
+//! Cache affinity: which targets probably hold which prefixes in their caches.
 //!
-//! Our own dispatch history is believed at once; cache events come late and correct it. An event
-//! that is missing may be an eviction: a gap drops as many of the least recently used blocks as it
-//! can hide, since a wrong belief sends long prompts to a target that has to read them again, and
-//! so does a forgotten one.
+//! Own prompts count as cached without waiting for an event from the target; cache events arrive
+//! late and correct this. A missing event may be an eviction, so a gap in the sequence drops as
+//! many of the least recently used blocks as the lost batches may have evicted. Both errors cost a
+//! repeated prefill: a block that is wrongly assumed sends long prompts to a target without it, and
+//! one that is wrongly dropped sends them elsewhere.
 
 use std::collections::BTreeMap;
 
@@ -13,35 +14,35 @@
 use crate::prompt;
 use crate::target_life::TargetLife;
 
-/// Most blocks believed of one target.
+/// Maximum number of blocks tracked per target.
 const MAX_BLOCKS_PER_TARGET: usize = 4096;
-/// Most blocks believed of all targets together, which bounds the memory.
+/// Maximum number of blocks tracked for all targets together, which bounds the memory.
 const MAX_BLOCKS: usize = 1 << 18;
 
-/// Names a target by a number, which is cheaper to compare than its name.
+/// Index of a target, which is cheaper to compare than its name.
 type TargetIndex = u32;
 
-/// Blocks believed of one target, the least recently used first.
+/// Assumed cache content of one target, in LRU order.
 #[derive(Debug, Default)]
 struct CacheModel {
     by_use: BTreeMap<u64, u64>,
-    /// Events in the largest batch so far: what a lost batch can have held.
+    /// Events in the largest batch so far, an upper bound for a lost batch.
     largest_batch: usize,
     sequence: Option<u64>,
     last_used: IndexMap<u64, u64>,
     target: TargetLife,
 }
 
-/// A target that probably holds the beginning of a prefix.
+/// Target that probably holds the start of a prefix.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Holder<'a> {
-    /// Blocks that it holds.
+    /// Number of blocks it holds.
     pub blocks: usize,
     /// The target.
     pub target: &'a TargetLife,
 }
 
-/// Beliefs about all targets of a pool.
+/// Assumed cache contents of all targets of a pool.
 #[derive(Debug, Default)]
 pub struct Affinity {
     caches: IndexMap<TargetIndex, CacheModel>,
@@ -52,17 +53,17 @@
 }
 
 impl Affinity {
-    /// A request with this prefix was sent to a target.
+    /// Records that a target has computed this prefix.
     pub fn record_sent(&mut self, target: &TargetLife, prefix: &[u64]) {
         let index = self.index(target);
-        // The last block is stamped first: a prefix without its beginning has no use, so the
-        // beginning has to be evicted last.
+        // Blocks are stored last to first, so that the start of the prefix is evicted last: later
+        // blocks are useless without it.
         for digest in prefix.iter().take(prompt::BLOCK_LIMIT).rev() {
             self.store(index, *digest);
         }
     }
 
-    /// Takes in cache events; `sequence` numbers the batches of one target without gaps.
+    /// Applies cache events; `sequence` numbers the batches of one target without gaps.
     pub fn apply_events(&mut self, target: &TargetLife, sequence: u64, events: &[CacheEvent]) {
         let index = self.index(target);
         let Some(cache) = self.caches.get_mut(&index) else {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Forgets a target.
+    /// Removes a target.
     pub fn forget(&mut self, target: &TargetLife) {
         if let Some(index) = self.indices.swap_remove(target) {
             self.clear(index);
@@ -95,24 +96,25 @@
         }
     }
 
-    /// Blocks from the start of the prefix that the target probably holds.
+    /// Number of leading blocks of the prefix that the target probably holds.
     #[must_use]
     pub fn matched_blocks(&self, target: &TargetLife, prefix: &[u64]) -> usize {
         let Some(cache) = self.cache(target) else {
             return 0;
         };
-        // Blocks are evicted from the end of a chain, so that the held ones form a beginning.
+        // Engines evict a chain from its end, so the cached blocks are always a leading part of it.
         let prefix = &prefix[..prefix.len().min(prompt::BLOCK_LIMIT)];
         prefix.partition_point(|digest| cache.last_used.contains_key(digest))
     }
 
-    /// Targets that hold the most of the prefix, at most `limit`.
+    /// Targets that hold the longest parts of the prefix, at most `limit`.
     #[must_use]
     pub fn holders(&self, prefix: &[u64], limit: usize) -> Vec<Holder<'_>> {
         let mut found: Vec<(TargetIndex, usize)> = Vec::new();
         for (i, digest) in prefix.iter().take(prompt::BLOCK_LIMIT).enumerate().rev() {
             let indices = self.holders.get(digest).map_or(&[][..], Vec::as_slice);
-            // Who holds a longer beginning holds this one, so the same count is the same targets.
+            // Holders of a longer part also hold this one, so an equal count means the same
+            // targets.
             if indices.len() == found.len() {
                 continue;
             }
@@ -132,7 +134,7 @@
         holders.collect()
     }
 
-    /// Blocks believed of a target.
+    /// Number of blocks tracked for a target.
     #[must_use]
     pub fn block_count(&self, target: &TargetLife) -> usize {
         self.cache(target).map_or(0, |cache| cache.last_used.len())
@@ -198,7 +200,7 @@
         }
     }
 
-    /// Drops the least recently used blocks, the first that an engine evicts.
+    /// Drops the least recently used blocks, which engines evict first.
     fn drop_oldest(&mut self, index: TargetIndex, count: usize) {
         let cache = self.caches.get(&index);
         let oldest: Vec<u64> = cache.map_or(Vec::new(), |cache| {
--- a/crates/lilaccrank/src/dispatch/choice.rs
+++ b/crates/lilaccrank/src/dispatch/choice.rs
@@ -1,4 +1,4 @@
-//! Which targets are open to an ask, and which of them is best.
+//! Target selection: which targets are eligible for an ask, and which of them is best.
 
 use std::time::{Duration, Instant};
 
@@ -13,110 +13,112 @@
 use crate::ids::{DataCentre, Tier};
 use crate::target_life::TargetLife;
 
-/// Part of the slots (one in so many) that only urgent tiers may take.
+/// One in this many slots is reserved for urgent tiers.
 pub const HEADROOM_DIVISOR: u32 = 8;
-/// Targets with the least load that are looked at closely.
+/// Number of least loaded targets that are scored with their cached prefix.
 const MAX_LEAST_LOADED: usize = 8;
-/// Holders of the prefix that are looked at closely.
+/// Maximum number of targets with a cached prefix that are scored.
 pub(super) const MAX_HOLDERS: usize = 16;
-/// Prefill tokens outstanding at a target beyond which it gets no more.
+/// Outstanding prefill tokens at which a target gets no more work without an objective.
 pub const PREFILL_LIMIT: u64 = 8192;
-/// What an error costs a caller: at least the time until its second try. A target that errs is
-/// avoided for as long as the others can take its work in less, and never left out altogether:
-/// where all err, one of them still may answer.
+/// Cost of an error for a caller, who loses at least the time until the retry. Weighted by the
+/// error rate, it steers work away from a failing target while the others can serve it in less
+/// time, but never excludes the target: if all targets fail, one may still answer.
 const ERROR_PENALTY: Duration = Duration::from_secs(2);
-/// Targets whose expected times differ by less than this part, or by less than these seconds, are
-/// as good: estimates are no finer, and work that always went to the first of them would leave
-/// the others unseen, and all of it to one that fails. Nine daemons that see the same would also send
-/// what comes to them within twenty milliseconds to the one best target.
+/// Relative and absolute (in seconds) difference in cost below which targets count as tied.
+/// Estimates are no more accurate than this. If the single best target always won, the others would
+/// never be measured, and a failing target could attract all work. Nine daemons with the same view
+/// would also send everything that arrives within 20 ms to the same target.
 const TIE_RATIO: f64 = 0.15;
 const TIE_MARGIN_S: f64 = 0.000_5;
-/// Time of reading outstanding at a target beyond which it gets no more work with an objective, by
-/// how many tiers in use go before it. What waits here goes to whichever target is done first, in the
-/// order of tiers; what waits at a target does neither, and all streams there pause while it is read.
+/// Maximum prefill backlog of a target, in time, for further work with an objective, indexed by the
+/// number of active tiers before its own. Asks in the queue go to the first target that becomes
+/// free, in tier order. Behind a target's backlog they do neither, and prefill also pauses all
+/// streams on the target.
 const PREFILL_BACKLOG_LIMITS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(90),
     Duration::from_millis(60),
 ];
-/// Prompts longer than this are long; a silent target is tried by a shorter one.
+/// Prompts with more tokens than this are long. Trials of a hung target use shorter ones.
 pub const LONG_PROMPT_TOKENS: u64 = 2048;
-/// Part of the expected answer that a request is judged by when it is refused for its deadline.
+/// Fraction of the expected answer length that is assumed when an ask is checked against its
+/// deadline.
 const OPTIMISTIC_LENGTH_RATIO: f64 = 0.5;
-/// How often the prefill of an ask that isn't urgent counts for the pool: what one prompt reads
-/// again, those behind it wait for. Without it copies of a prefix spread over all targets as
-/// soon as their holders are busy, and push each other out of the caches.
+/// Weight of the prefill of a non-urgent ask as a cost to the pool, since the asks behind it wait
+/// for it. Without this cost, copies of a prefix spread to all targets as soon as its holders are
+/// busy, and evict each other from the caches.
 const SHARED_PREFILL_WEIGHT: f64 = 1.0;
-/// Part of the likely time to the whole answer that must be left at the grant. An ask that is
-/// granted with less is mostly cut off by its deadline, and its prefill was in vain.
+/// Fraction of the likely completion time that must remain until the deadline when an ask is
+/// granted. With less time, most answers are cut off by the deadline and their prefill is wasted.
 const MIN_TIME_RATIO: f64 = 0.8;
-/// Tiers from 0 on that may use the headroom.
+/// Number of tiers, starting at 0, that may use the headroom.
 const URGENT_TIERS: Tier = 1;
 
-/// What the choice needs to know of an ask.
+/// Requirements of an ask on a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements<'a> {
-    /// Where the caller's daemon is.
+    /// Data centre of the caller's daemon.
     pub data_centre: &'a DataCentre,
-    /// Tokens in one block of the prefix.
+    /// Tokens per block of the prefix.
     pub block_tokens: u32,
-    /// Time in which a target has to finish the answer, if it resumes one.
+    /// Time within which the target must finish the answer, for a resumed answer.
     pub finish_within: Option<Duration>,
-    /// Targets that are out of the question.
+    /// Targets that must not be chosen.
     pub exclusions: &'a [TargetLife],
-    /// Time in which its caller expects a first token, if it told one.
+    /// Time until the caller expects the first token, if it has an objective.
     pub objective: Option<Duration>,
-    /// Kind of room that is needed.
+    /// Lane of the ask in the queue.
     pub lane: Lane,
-    /// Digests of the prompt.
+    /// Digests of the blocks of the prompt.
     pub prefix: &'a [u64],
-    /// Where the ask stands among those that wait.
+    /// Priority of the ask.
     pub priority: Priority,
     /// Tier of the ask.
     pub tier: Tier,
-    /// What the tiers before its own reserve.
+    /// Slots reserved for the tiers before its own.
     pub reservation: Reservation,
-    /// Tiers before its own that use the pool.
+    /// Number of active tiers before its own.
     pub tiers_before: usize,
-    /// Expected length.
+    /// Expected length in tokens.
     pub work: Work,
 }
 
 impl Requirements<'_> {
-    /// Whether its caller expects a first token by some time.
+    /// Returns `true` if the caller expects the first token within a given time.
     #[must_use]
     pub fn has_objective(&self) -> bool {
         self.objective.is_some()
     }
 }
 
-/// A chosen target.
+/// Target selected for an ask.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Time to the whole answer by which the ask is judged at its grant, in seconds.
+    /// Completion time in seconds that is checked against the deadline when the ask is granted.
     pub earliest_completion: f64,
-    /// Tokens of prefill left after what the cache is believed to save.
+    /// Prefill tokens that remain after the expected cache hits.
     pub prefill: u64,
-    /// The target.
+    /// Selected target.
     pub target: TargetLife,
 }
 
-/// Room in a pool at one moment. Only targets that are well count: the free slots of a hung one
-/// would pass for the headroom, and urgent work would find no way in.
+/// Occupancy of a pool at one moment. Only healthy targets count: the free slots of a hung target
+/// would otherwise count as headroom, and urgent work would find no free slot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Occupancy {
-    /// Targets with a long prefill outstanding.
+    /// Healthy targets with an outstanding long prefill.
     long_prefills: usize,
-    /// Slots of the targets that may get new work.
+    /// Slots of the healthy targets.
     slots: u32,
-    /// Slots that are taken.
+    /// Occupied slots of the healthy targets.
     taken: u32,
-    /// Number of these targets.
+    /// Number of healthy targets.
     healthy_targets: usize,
 }
 
 impl Occupancy {
-    /// Looks at all targets.
+    /// Computes the occupancy of the live and healthy targets.
     #[must_use]
     pub fn of(targets: &IndexMap<TargetLife, Target>, now: Instant) -> Self {
         let is_healthy = |target: &&Target| target.health.state() == health::State::Well;
@@ -132,9 +134,10 @@
         })
     }
 
-    /// Whether the pool as a whole has room for this tier and lane. Work that isn't urgent
-    /// leaves a part of all slots, and a part of the targets free of long prompts: prefill
-    /// can't be interrupted, and with one on each target an urgent ping waits for seconds.
+    /// Returns `true` if the pool as a whole has capacity for this tier and lane. Non-urgent work
+    /// leaves some slots free, and keeps a quarter of the targets free of long prompts: prefill
+    /// can't be interrupted, and with a long prompt on every target a short urgent request would
+    /// wait for seconds.
     #[must_use]
     pub fn admits(self, tier: Tier, lane: Lane, prefill: u64) -> bool {
         if is_urgent(tier) {
@@ -151,8 +154,9 @@
     }
 }
 
-/// Whether a target is open to an ask of this tier. Doesn't look at the ask's own length, else
-/// a long request would wait for ever behind short ones that still fit.
+/// Returns `true` if a target may serve an ask of this tier. The prefill limits count outstanding
+/// work only, not the ask's own prompt: otherwise a long request could starve behind short ones
+/// that still fit.
 #[must_use]
 pub fn is_eligible(
     target: &Target,
@@ -171,7 +175,7 @@
     };
     let accepts_work = match target.health.state() {
         health::State::Hung => {
-            // Urgent work doesn't go on a trial unless there is nothing better.
+            // Urgent work is sent on a trial only if no target is healthy.
             let is_short = needs.work.prefill <= LONG_PROMPT_TOKENS;
             target.health.is_trial_due(now)
                 && is_short
@@ -192,7 +196,7 @@
         && !needs.exclusions.contains(&target.life)
 }
 
-/// Whether the prompts before it leave the ask a timely first token.
+/// Returns `true` if the target's prefill backlog still allows a timely first token.
 fn has_prefill_capacity(target: &Target, needs: &Requirements<'_>, now: Instant) -> bool {
     let outstanding = target.estimate.outstanding().prefill;
     if !needs.has_objective() {
@@ -202,7 +206,7 @@
     outstanding as f64 / target.estimate.prefill_rate(now) < limit.as_secs_f64()
 }
 
-/// Whether the target is expected to finish a resumed answer in time.
+/// Returns `true` if the target is likely to finish a resumed answer in time.
 fn finishes_in_time(target: &Target, needs: &Requirements<'_>, now: Instant) -> bool {
     let likely_completion = || likely_completion(target, needs, 0, now) * MIN_TIME_RATIO;
     needs
@@ -210,13 +214,13 @@
         .is_none_or(|limit| likely_completion() <= limit.as_secs_f64())
 }
 
-/// Whether a tier may use the headroom.
+/// Returns `true` if a tier may use the headroom.
 #[must_use]
 pub fn is_urgent(tier: Tier) -> bool {
     tier < URGENT_TIERS
 }
 
-/// Whether any target is open to an ask.
+/// Returns `true` if at least one target is eligible for an ask.
 #[must_use]
 pub fn any_eligible(
     targets: &IndexMap<TargetLife, Target>,
@@ -229,10 +233,12 @@
         .any(|t| is_eligible(t, needs, occupancy, now))
 }
 
-/// The open target with the least expected time to the whole answer.
+/// Selects an eligible target with the least expected cost.
 ///
-/// The least loaded and those that hold the prefix are compared closely. A holder wins only if
-/// the prefill it saves is longer than the wait for what is already there.
+/// Only the least loaded targets and the holders of the prefix are scored with their cache
+/// contents. A holder wins only if the prefill it saves takes longer than the wait for the work
+/// already on it. Ties go to a target in the same data centre, then to the least recently granted
+/// one.
 #[must_use]
 pub fn choose(
     targets: &IndexMap<TargetLife, Target>,
@@ -292,8 +298,8 @@
     })
 }
 
-/// Earliest time to the whole answer in seconds; a request is refused by it, so it is taken
-/// from the good side: the answer may be shorter than others were.
+/// Optimistic completion time in seconds. An ask is refused if even this misses its deadline, so
+/// the answer is assumed to be shorter than average and the target to be idle.
 #[must_use]
 pub fn earliest_completion(
     target: &Target,
@@ -307,7 +313,7 @@
     prefill + decode * estimate.step(1, now)
 }
 
-/// Likely time to the whole answer in seconds, behind what the target already has.
+/// Likely completion time in seconds, behind the work already on the target.
 fn likely_completion(target: &Target, needs: &Requirements<'_>, saved: u64, now: Instant) -> f64 {
     let estimate = &target.estimate;
     let own_prefill = needs.work.prefill.saturating_sub(saved);
@@ -316,8 +322,8 @@
     prefill as f64 / estimate.prefill_rate(now) + needs.work.decode as f64 * step
 }
 
-/// Expected time to the whole answer in seconds. Prefill counts once more for the part of the
-/// batch that it holds up, and again for the pool, unless the ask is urgent.
+/// Expected completion time plus penalties, in seconds. Prefill is counted again for the share of
+/// the batch that it delays and, unless the ask is urgent, for the asks that wait behind it.
 fn expected_cost(target: &Target, needs: &Requirements<'_>, saved: u64, now: Instant) -> f64 {
     let estimate = &target.estimate;
     let batch = estimate.batch(now).saturating_add(1);
--- a/crates/lilaccrank/src/dispatch/deadline.rs
+++ b/crates/lilaccrank/src/dispatch/deadline.rs
@@ -1,8 +1,8 @@
-//! Whether an ask can meet its deadline.
+//! Deadline feasibility of asks.
 //!
-//! A request that can't is refused before it costs prefill. Each guess is taken from the good
-//! side: a request that is refused wrongly is lost, one that is kept wrongly is found out at its
-//! grant or its deadline.
+//! An ask that can't meet its deadline is refused before it costs any prefill. All estimates are
+//! optimistic: a request that is refused wrongly is lost, while one that is admitted wrongly is
+//! refused at its grant or at its deadline.
 
 use std::time::{Duration, Instant};
 
@@ -11,10 +11,10 @@
 use super::state::{self, State};
 use super::work::Work;
 
-/// Time after which the capacity is worked out anew.
+/// Time after which the capacity is recomputed.
 const CAPACITY_TTL: Duration = Duration::from_millis(50);
 
-/// What all live targets do together, in tokens a second.
+/// Combined throughput of all live targets, in tokens per second.
 #[derive(Debug, Default)]
 pub(super) struct Capacity {
     updated: Option<Instant>,
@@ -23,8 +23,9 @@
 }
 
 impl State {
-    /// Whether no target can meet the ask's deadline after the work ahead in tier order. Lower
-    /// tiers don't count: they would be passed, and refusing for them would be an inversion.
+    /// Returns `true` if no target can meet the ask's deadline after the work ahead of it. Work of
+    /// lower tiers is ignored: it would be overtaken, and a refusal because of it would be a
+    /// priority inversion.
     pub(super) fn is_infeasible(&mut self, ask: &Ask, now: Instant) -> bool {
         let Some(left) = ask.deadline else {
             return false;
@@ -35,11 +36,12 @@
         if !self.can_meet(&needs, left, now) {
             return true;
         }
-        // A resumed answer goes before what waits in its tier.
+        // A resumed answer goes ahead of the waiting asks of its tier.
         if ask.partial.is_some() {
             return false;
         }
-        // The whole of the own tier is more than goes ahead in fair order, and cheap to know.
+        // The backlog up to and including the own priority is an upper bound for the work ahead,
+        // and cheap to compute.
         let priority = state::priority(ask);
         let upper_bound = self.queue.work_up_to(priority);
         if self.can_meet(&needs, left - self.min_drain_time(upper_bound), now) {
@@ -53,8 +55,8 @@
         !choice::any_eligible(&self.targets, &needs, occupancy, now)
     }
 
-    /// Shortest time that this work takes all targets together, in seconds. They read and
-    /// generate at once, so that the longer of the two is the least.
+    /// Lower bound for the time that all targets together need for this work, in seconds. Prefill
+    /// and decode overlap, so the longer of the two counts.
     pub(super) fn min_drain_time(&self, work: Work) -> f64 {
         let prefill = work.prefill as f64 * self.cache_miss_ratio / self.capacity.prefill.max(1.0);
         let decode = work.decode as f64 * self.length_ratio / self.capacity.decode.max(1.0);
@@ -93,7 +95,7 @@
         self.capacity = capacity;
     }
 
-    /// The targets have changed.
+    /// Forces a recomputation after a change of targets.
     pub(super) fn invalidate_capacity(&mut self) {
         self.capacity.updated = None;
     }
--- a/crates/lilaccrank/src/dispatch/delay.rs
+++ b/crates/lilaccrank/src/dispatch/delay.rs
@@ -1,11 +1,10 @@
-//! Delay scheduling: an ask waits for a target that holds its prefix, but not for long.
+//! Delay scheduling: an ask waits a bounded time for a target that holds its prefix.
 //!
-//! In a full pool one slot comes free at a time. Were the first ask always put there, the cache
-//! would hardly ever be met: prompts are read again and push each other out. So an ask whose
-//! holder is full lets others pass for a few times as long as the reading that it saves would
-//! take. A prefix that some target is just reading is waited for in the
-//! same way. Urgent asks don't wait, nor do those with many holders, of
-//! which one is soon free.
+//! In a full pool, slots become free one at a time. If the first ask always took the free slot, it
+//! would hardly ever hit the cache: prompts would be prefilled again and evict each other. An ask
+//! whose holder is full therefore lets others pass, for a multiple of the prefill time that it
+//! saves. It waits in the same way for a prefix whose prefill is in progress. Urgent asks don't
+//! wait, nor do asks with many holders, one of which soon has a free slot.
 
 use std::time::{Duration, Instant};
 
@@ -13,31 +12,30 @@
 use super::health;
 use super::state::State;
 
-/// Asks that are looked at for one that suits the free targets.
+/// Maximum number of asks examined for one that needs no delay.
 pub(super) const DELAY_SCAN_LIMIT: usize = 8;
-/// Times longer than the reading that it saves that an ask waits for a holder at most. In a burst
-/// the holder is busy for longer than one reading; giving up early costs the whole pool another
-/// one.
+/// Maximum delay as a multiple of the prefill time saved. In a burst, a holder is busy for longer
+/// than one prefill, and giving up early costs the whole pool another prefill.
 const MAX_DELAY_FACTOR: u32 = 3;
-/// Savings below this, in tokens, are not worth a delay.
+/// Savings below this number of tokens are not worth a delay.
 const MIN_SAVED_TOKENS: u64 = 256;
 
-/// The wait of one ask for a holder.
+/// Delay of one ask for a holder of its prefix.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Delay {
-    /// Count of openings at which it was judged; until the next one no holder can come free.
+    /// Capacity epoch of the last evaluation; no holder can become eligible within the same epoch.
     capacity_epoch: u64,
     since: Instant,
     until: Instant,
 }
 
 impl State {
-    /// Room may have come free somewhere.
+    /// Records that capacity may have become free.
     pub(super) fn note_capacity_change(&mut self) {
         self.capacity_epoch += 1;
     }
 
-    /// Whether the ask waits for a holder of its prefix.
+    /// Returns `true` if the ask still waits for a holder of its prefix.
     pub(super) fn is_delayed(&self, request: &str, occupancy: Occupancy, now: Instant) -> bool {
         let Some(waiting) = self.waiting.get(request) else {
             return false;
@@ -63,7 +61,7 @@
         now < delay.until
     }
 
-    /// Time of reading that a full holder saves over the best open target.
+    /// Prefill time that a full holder saves compared to the best eligible target.
     fn saved_prefill_time(&self, request: &str, occupancy: Occupancy, now: Instant) -> Duration {
         let needs = self.needs_of(&self.waiting[request], now);
         let (mut eligible_saving, mut busy_saving, mut rate) = (0, 0, f64::INFINITY);
@@ -98,7 +96,8 @@
         Duration::try_from_secs_f64(saving as f64 / rate).unwrap_or_default()
     }
 
-    /// Prefill rate of the slowest target that is well: who reads a pending prefix isn't known.
+    /// Prefill rate of the slowest healthy target, used for a pending prefill whose target is
+    /// unknown.
     fn slowest_prefill_rate(&self, now: Instant) -> f64 {
         let healthy = self
             .targets
--- a/crates/lilaccrank/src/dispatch/drain_rate.rs
+++ b/crates/lilaccrank/src/dispatch/drain_rate.rs
@@ -1,4 +1,4 @@
-//! How fast the pool drains, and when a refused caller should come back.
+//! Drain rate of the pool, and the `Retry-After` derived from it.
 
 use std::time::{Duration, Instant};
 
@@ -7,16 +7,16 @@
 
 use crate::backoff;
 
-/// Longest `Retry-After` before jitter.
+/// Maximum `Retry-After` before jitter.
 pub const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// Shortest `Retry-After` before jitter.
+/// Minimum `Retry-After` before jitter.
 pub const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
-/// Slower drain rates, in tokens a second, mean that nothing has ended of late.
+/// Drain rates below this, in tokens per second, mean that no request has ended recently.
 const MIN_MEASURED_RATE: f64 = 1.0;
-/// Time over which the drain rate is averaged.
+/// Time constant of the exponentially decaying average.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// Tokens of ended work in a second, averaged with exponential decay.
+/// Completed tokens per second, as an exponentially decaying average.
 #[derive(Debug)]
 pub struct DrainRate {
     per_s: f64,
@@ -25,7 +25,7 @@
 }
 
 impl DrainRate {
-    /// A rate of zero; `seed` decides the jitter of what callers are told.
+    /// Creates a rate of zero; `seed` determines the jitter.
     #[must_use]
     pub fn new(seed: u64, now: Instant) -> Self {
         Self {
@@ -35,24 +35,25 @@
         }
     }
 
-    /// Counts ended work.
+    /// Records completed work.
     pub fn record_end(&mut self, tokens: u64, now: Instant) {
         self.per_s = self.per_s(now) + tokens as f64 / WINDOW.as_secs_f64();
         self.updated = now;
     }
 
-    /// Tokens in a second.
+    /// Current rate in tokens per second.
     #[must_use]
     pub fn per_s(&self, now: Instant) -> f64 {
         let since = now.saturating_duration_since(self.updated).as_secs_f64();
         self.per_s * (-since / WINDOW.as_secs_f64()).exp()
     }
 
-    /// When a caller refused behind `tokens_ahead` tokens should come back; `estimated_wait` is the wait to
-    /// assume while nothing has ended, as at the start of a burst.
+    /// Delay after which a caller refused behind `tokens_ahead` tokens should retry.
+    /// `estimated_wait` in seconds is used while no request has ended, as at the start of a burst.
     ///
-    /// With the same answer for all, a refused burst returns as one burst, and is refused again;
-    /// a jitter as wide as the wait spreads it over the time that the pool needs to drain.
+    /// With the same delay for all callers, a refused burst would return as one burst and be
+    /// refused again. Jitter as wide as the wait spreads the retries over the time that the pool
+    /// needs to drain.
     #[must_use]
     pub fn retry_after(
         &mut self,
--- a/crates/lilaccrank/src/dispatch/estimate.rs
+++ b/crates/lilaccrank/src/dispatch/estimate.rs
@@ -1,7 +1,7 @@
-//! What is known of one target: what we sent it, and what it answered.
+//! Estimated load and speed of one target, from the requests sent to it and its answers.
 //!
-//! Our own grants count at once, so that a burst doesn't run to the target that looked idle. The
-//! target's own report lags and is used only for load that isn't ours.
+//! Own grants count at once, so that a burst doesn't go to the target that looked idle. The
+//! target's own load report lags and is used only for load from other sources.
 
 use std::time::{Duration, Instant};
 
@@ -9,29 +9,29 @@
 use super::step_model::StepModel;
 use super::work::Work;
 
-/// Prefill rate assumed of a target that was never seen, in tokens a second.
+/// Prefill rate assumed for a new target, in tokens per second.
 const INITIAL_PREFILL_RATE: f64 = 8000.0;
-/// Slowest prefill rate that is believed.
+/// Lower bound of the estimated prefill rate, in tokens per second.
 const MIN_PREFILL_RATE: f64 = 10.0;
-/// Weight of a new sample in the prefill rate.
+/// EWMA weight of a new sample in the prefill rate.
 const PREFILL_GAIN: f64 = 0.2;
-/// Prompts shorter than this are mostly other time than reading.
+/// Below this number of prefill tokens, the time to a first token is mostly overhead.
 const SHORT_PROMPT_TOKENS: u64 = 1024;
-/// Weight of a new sample in that other time.
+/// EWMA weight of a new sample in the overhead.
 const OVERHEAD_GAIN: f64 = 0.1;
-/// Part of the time to a first token that is taken for reading at least.
+/// Minimum fraction of the time to a first token that is attributed to prefill.
 const MIN_PREFILL_FRACTION: f64 = 0.25;
-/// Shorter prefills are mostly step time and tell nothing of the rate.
+/// Prefills with fewer tokens are mostly step time and no sample of the prefill rate.
 const MIN_SAMPLE_TOKENS: u64 = 128;
-/// Weight of a new report in the load that isn't ours.
+/// EWMA weight of a new report in the external load.
 const EXTERNAL_LOAD_GAIN: f64 = 0.5;
-/// A report is forgotten after this time.
+/// Time after which a load report is ignored.
 const REPORT_TTL: Duration = Duration::from_secs(10);
-/// Lag of reports that is allowed for: a request that ended this long ago may be in one.
+/// Maximum lag of load reports: requests that ended up to this long ago may still be included.
 const MAX_REPORT_LAG: Duration = Duration::from_secs(3);
-/// Times longer than expected that a target may be silent.
+/// Factor on the expected prefill time in the hang timeout.
 const HANG_TIMEOUT_FACTOR: f64 = 4.0;
-/// Steps that a target may be silent.
+/// Number of expected steps in the hang timeout.
 const HANG_TIMEOUT_STEPS: f64 = 50.0;
 
 /// Load and speed of one target.
@@ -39,11 +39,11 @@
 pub struct Estimate {
     external_load: f64,
     outstanding: Work,
-    /// Time to a first token beside the reading of prompts, in seconds.
+    /// Time to a first token apart from prefill, in seconds.
     overhead: f64,
     peak: u32,
     peak_at: Instant,
-    /// What other daemons have there.
+    /// Running requests and outstanding work of other daemons.
     peer_load: (u32, Work),
     prefill_rate: f64,
     reported_at: Instant,
@@ -52,7 +52,7 @@
 }
 
 impl Estimate {
-    /// A target that was never seen.
+    /// Creates the estimate of a new target without any history.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -69,8 +69,8 @@
         }
     }
 
-    /// A target that was never seen, among others that were: taken for slower than it is, it
-    /// would get nothing by which it could show its speed.
+    /// Creates the estimate of a new target with the speed of the median of the others. A target
+    /// that is estimated too slow would get no work by which to correct the estimate.
     pub fn from_median<'a>(estimates: impl Iterator<Item = &'a Self>, now: Instant) -> Self {
         let mut estimates: Vec<&Self> = estimates.collect();
         estimates.sort_by(|a, b| a.prefill_rate.total_cmp(&b.prefill_rate));
@@ -85,22 +85,22 @@
         }
     }
 
-    /// A request was granted.
+    /// Records a grant.
     pub fn record_grant(&mut self, work: Work, now: Instant) {
         self.outstanding += work;
         self.running += 1;
         self.note_peak(now);
     }
 
-    /// The first token came: its prefill is done. `before` was outstanding when it was granted,
-    /// its own included.
+    /// Records the first token of a request, which ends its prefill. `prefill_ahead` is the prefill
+    /// outstanding after its grant, including its own.
     pub fn record_first_token(&mut self, prefill: u64, prefill_ahead: u64, after: Duration) {
         self.outstanding -= Work { decode: 0, prefill };
         self.observe_first_token(prefill_ahead, after);
     }
 
-    /// Learns from a first token, of whichever daemon. Short prompts tell what a first token
-    /// costs beside them, long ones how fast they are read.
+    /// Updates the speed from a first token observed by any daemon. Short prompts measure the
+    /// overhead, long ones the prefill rate.
     pub fn observe_first_token(&mut self, prefill_ahead: u64, after: Duration) {
         let after = after.as_secs_f64();
         if after <= 0.0 {
@@ -118,34 +118,35 @@
         }
     }
 
-    /// Learns from tokens that followed each other, of whichever daemon.
+    /// Updates the step model from a step observed by any daemon.
     pub fn observe_step(&mut self, batch: u32, step: Duration, now: Instant) {
         self.step_model.observe(batch, step, now);
     }
 
-    /// Takes over what other daemons have there; whether room came free by that.
+    /// Replaces the load of other daemons. Returns `true` if its requests or its prefill have
+    /// decreased.
     pub fn set_peer_load(&mut self, running: u32, work: Work) -> bool {
         let (previous_running, previous_work) =
             std::mem::replace(&mut self.peer_load, (running, work));
         running < previous_running || work.prefill < previous_work.prefill
     }
 
-    /// Tokens came.
+    /// Records generated tokens.
     pub fn record_progress(&mut self, decode: u64, step: Duration, now: Instant) {
         self.outstanding -= Work { decode, prefill: 0 };
         self.step_model.observe(self.batch(now), step, now);
     }
 
-    /// A request has ended; `left` is what of it still counted as outstanding.
+    /// Records the end of a request; `left` is its work that still counted as outstanding.
     pub fn record_end(&mut self, left: Work, now: Instant) {
         self.note_peak(now);
         self.outstanding -= left;
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Takes in the target's report. Only what exceeds the most that we had running in the time
-    /// the report may stem from is load that isn't ours: taken as a whole, a late report would
-    /// count our own requests twice, or hide those just sent.
+    /// Applies the target's load report. Only the excess over the peak of own running requests
+    /// within the report lag counts as external load: a report taken at face value would count own
+    /// requests twice, or hide those just sent.
     pub fn record_report(&mut self, report: LoadReport, now: Instant) {
         self.note_peak(now);
         let excess = report
@@ -158,13 +159,13 @@
         self.reported_at = now;
     }
 
-    /// Requests of ours that run there.
+    /// Number of running requests of this daemon.
     #[must_use]
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests in the target's batch and queue.
+    /// Number of requests in the target's batch and queue.
     #[must_use]
     pub fn batch(&self, now: Instant) -> u32 {
         let other_requests = self
@@ -174,25 +175,25 @@
         self.running.saturating_add(other_requests)
     }
 
-    /// Tokens sent by this daemon and the others, and not seen done.
+    /// Outstanding tokens of all daemons.
     #[must_use]
     pub fn outstanding(&self) -> Work {
         self.outstanding + self.peer_load.1
     }
 
-    /// Tokens that this daemon sent and did not see done.
+    /// Outstanding tokens of this daemon.
     #[must_use]
     pub fn own_outstanding(&self) -> Work {
         self.outstanding
     }
 
-    /// Time to a first token beside the reading of prompts, in seconds.
+    /// Time to a first token apart from prefill, in seconds.
     #[must_use]
     pub fn overhead(&self) -> f64 {
         self.overhead
     }
 
-    /// Tokens of prefill in a second.
+    /// Prefill rate in tokens per second.
     #[must_use]
     pub fn prefill_rate(&self, now: Instant) -> f64 {
         self.prefill_rate / self.slowness(now)
@@ -204,13 +205,13 @@
         self.step_model.slowness(now)
     }
 
-    /// Expected step time at a batch, in seconds.
+    /// Expected step time at a batch size, in seconds.
     #[must_use]
     pub fn step(&self, batch: u32, now: Instant) -> f64 {
         self.step_model.expected(batch, now)
     }
 
-    /// Longest silence that still fits what was sent.
+    /// Time without output after which a target with this load counts as hung.
     #[must_use]
     pub fn hang_timeout(&self, now: Instant) -> Duration {
         let prefill = self.outstanding().prefill as f64 / self.prefill_rate(now);
--- a/crates/lilaccrank/src/dispatch/fair.rs
+++ b/crates/lilaccrank/src/dispatch/fair.rs
@@ -1,4 +1,4 @@
-//! Fair order between the customers of one tier.
+//! Weighted fair queue of the customers of one tier.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,17 +8,17 @@
 use super::work::Work;
 use crate::ids::{CustomerId, RequestId};
 
-/// Virtual time of one token at weight 1.
+/// Virtual time per token at weight 1.
 const VIRTUAL_TIME_PER_TOKEN: u64 = 1 << 10;
-/// Customers without waiting work that are remembered before a sweep.
+/// Number of idle customers kept before a cleanup.
 const IDLE_FLOW_LIMIT: usize = 4096;
 
-/// Place of a customer's first ask in the order of its tier; lesser goes first.
+/// Position of a customer's first ask in the order of its tier; lower goes first.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Position {
     virtual_time: u64,
     sequence: u64,
-    /// The ask.
+    /// Request of the ask.
     pub request: RequestId,
 }
 
@@ -69,8 +69,9 @@
 }
 
 impl FairQueue {
-    /// Adds an ask. A customer that had nothing waiting starts at the tier's virtual time: time
-    /// without work earns no credit, else a customer could save up and then shut others out.
+    /// Adds an ask. A customer without waiting asks starts at the tier's virtual time: idle time
+    /// earns no credit, since a customer could otherwise accumulate credit and then block the
+    /// others.
     pub fn push(&mut self, item: &Item, sequence: u64) {
         let virtual_time = self.virtual_time;
         let idle = self.flows.get(&item.customer).is_some_and(Flow::is_empty);
@@ -88,7 +89,7 @@
         self.total += item.work;
     }
 
-    /// Takes out an ask.
+    /// Removes an ask.
     pub fn remove(&mut self, item: &Item, sequence: u64) {
         self.update(&item.customer, |flow| {
             flow.backlog -= item.work;
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Charges a customer for a granted ask.
+    /// Advances the virtual time of a customer whose ask is granted.
     pub fn charge(&mut self, item: &Item) {
         let mut start = 0;
         self.update(&item.customer, |flow| {
@@ -112,19 +113,19 @@
         self.virtual_time = self.virtual_time.max(start);
     }
 
-    /// The first ask of each customer in a lane, in order.
+    /// First ask of each customer in a lane, in order.
     pub fn heads(&self, lane: Lane) -> impl Iterator<Item = &Position> + '_ {
         self.heads[lane as usize].iter()
     }
 
-    /// The newest ask of the customer with the most work for its weight.
+    /// Newest ask of the customer with the largest backlog per weight.
     pub fn victim(&self) -> Option<&RequestId> {
         let (_, customer) = self.weighted_backlogs.last()?;
         self.flows[customer].newest()
     }
 
-    /// Work before a new ask of `customer`: its own, and of each other customer as much as its
-    /// weight lets pass meanwhile.
+    /// Work ahead of a new ask of `customer`: its own backlog, and for each other customer the
+    /// share that its weight allows meanwhile.
     pub fn work_ahead(&self, customer: &str, weight: u32) -> Work {
         let own = self.flows.get(customer);
         let own = own.map_or(Work::default(), |flow| flow.backlog);
@@ -140,7 +141,7 @@
         })
     }
 
-    /// Work of all waiting asks.
+    /// Total work of all waiting asks.
     pub fn total(&self) -> Work {
         self.total
     }
@@ -150,12 +151,12 @@
         self.len
     }
 
-    /// Whether nothing waits.
+    /// Returns `true` if no ask waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Changes one flow and keeps the ordered sets in step with it.
+    /// Updates one flow and keeps the ordered sets consistent with it.
     fn update(&mut self, customer: &str, f: impl FnOnce(&mut Flow)) {
         let flow = self.flows.entry(customer.to_owned()).or_default();
         for lane in Lane::ALL {
@@ -177,8 +178,8 @@
         }
     }
 
-    /// An idle customer is remembered while it is ahead of the tier's virtual time: forgotten
-    /// sooner, it would come back without the debt. Behind it the memory has no effect.
+    /// Removes idle customers whose virtual time isn't ahead of the tier's. Customers that are
+    /// ahead are kept, since they would otherwise return without their debt.
     fn prune_idle(&mut self) {
         if self.idle <= IDLE_FLOW_LIMIT {
             return;
--- a/crates/lilaccrank/src/dispatch/grants.rs
+++ b/crates/lilaccrank/src/dispatch/grants.rs
@@ -1,4 +1,4 @@
-//! Grants: which ask goes next, and where.
+//! Grants: which ask is next, and which target it gets.
 
 use std::time::{Duration, Instant};
 
@@ -11,17 +11,17 @@
 use super::work::Work;
 use crate::ids::RequestId;
 
-/// Weight of a new sample in the part of prompts that has to be computed.
+/// EWMA weight of a new sample in the cache miss ratio.
 const CACHE_MISS_GAIN: f64 = 0.05;
-/// Asks that are tried in a lane in which each may find other targets open.
+/// Maximum number of asks tried in a lane whose asks differ in the targets they may use.
 const RESTRICTED_SCAN_LIMIT: usize = 32;
-/// A grant lapses if nothing is heard of it for this long: the entry is gone or never had it.
-/// It may still be used; the target then has one request more than counted, and no request
-/// runs twice, since the entry owns that decision.
+/// Time after which an unconfirmed grant expires, because the entry daemon has failed or never
+/// received it. A late entry daemon may still use the grant: the target then runs one request more
+/// than is counted. No request runs twice, since the entry daemon alone decides on sending.
 const GRANT_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl State {
-    /// Grants in order until no waiting ask finds an open target.
+    /// Grants asks in order until none has an eligible target.
     pub(super) fn dispatch(&mut self, now: Instant) {
         if self.handover.is_some() {
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Releases grants of which nothing was heard.
+    /// Releases grants that were not confirmed in time.
     pub(super) fn expire_grants(&mut self, now: Instant) {
         let expired = self.active_grants.iter().filter(|(_, active_grant)| {
             !active_grant.began
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Looks for targets that went silent.
+    /// Marks targets with running requests as hung if they have been silent for too long.
     pub(super) fn check_health(&mut self, now: Instant) {
         self.note_capacity_change();
         for target in self.targets.values_mut() {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Ends a reservation and returns its target's room.
+    /// Ends a grant and frees its slot on the target.
     pub(super) fn release(&mut self, request: &str, now: Instant) -> Option<ActiveGrant> {
         let active_grant = self.active_grants.swap_remove(request)?;
         self.inflight.remove(&active_grant.inflight);
@@ -85,7 +85,7 @@
         Some(active_grant)
     }
 
-    /// Puts a request on a target.
+    /// Records a grant and its load on the target.
     pub(super) fn reserve(&mut self, waiting: &Waiting, choice: &Choice, now: Instant) {
         let ask = &waiting.ask;
         let Some(target) = self.targets.get_mut(&choice.target) else {
@@ -133,7 +133,7 @@
         self.active_grants.insert(ask.request.clone(), active_grant);
     }
 
-    /// Grants the ask, or refuses it if even the best target is too slow for its deadline.
+    /// Grants an ask, or refuses it if the best target can't meet its deadline.
     fn grant_or_refuse(&mut self, request: &RequestId, choice: Choice, now: Instant) {
         let deadline = self.waiting[request].deadline;
         let left = deadline.map(|deadline| deadline.saturating_duration_since(now));
@@ -158,22 +158,24 @@
         }
         let verdict = self.grant_verdict(request, waiting.ask.ask);
         if let Some(waiter) = waiting.waiter {
-            // If the call has just ended, its guard gives the grant back.
+            // If the receiver has just been dropped, its guard cancels the grant.
             let _ = waiter.tx.send(verdict);
         }
     }
 
-    /// The first ask in order that finds an open target.
+    /// Returns the first ask in order that has an eligible target.
     fn next_request(&self, occupancy: Occupancy, now: Instant) -> Option<RequestId> {
         self.queue.priorities().find_map(|priority| {
-            // Resumed answers go first: what was read and generated for them would be lost.
+            // Resumed answers go first: otherwise their completed prefill and generated tokens
+            // would be lost.
             let resumed = self.next_eligible(priority, Lane::Resumed, occupancy, now);
             let next = resumed.or_else(|| self.next_unstarted(priority, occupancy, now));
             next.map(|position| position.request.clone())
         })
     }
 
-    /// The first ask that finds an open target, of a lane in which each may find other targets open.
+    /// Returns the first ask with an eligible target in a lane whose asks differ in the targets
+    /// they may use.
     fn next_eligible(
         &self,
         priority: Priority,
@@ -185,7 +187,7 @@
         heads.find(|position| self.is_eligible(&position.request, occupancy, now))
     }
 
-    /// The first ask of a standing that finds an open target and has no partial answer.
+    /// Returns the first ask of a priority that has an eligible target and no partial answer.
     fn next_unstarted(
         &self,
         priority: Priority,
--- a/crates/lilaccrank/src/dispatch/health.rs
+++ b/crates/lilaccrank/src/dispatch/health.rs
@@ -1,42 +1,41 @@
-//! Whether a target gives signs of life, and how a silent one is tried again.
+//! Health of a target, and trials of one that is hung.
 
 use std::time::{Duration, Instant};
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// First wait before a silent target is tried again.
+/// Initial backoff before a hung target is tried again.
 const INITIAL_TRIAL_BACKOFF: Duration = Duration::from_secs(1);
-/// Longest wait before a silent target is tried again.
+/// Maximum backoff before a hung target is tried again.
 const MAX_TRIAL_BACKOFF: Duration = Duration::from_secs(30);
-/// Failures in a row after which a target is treated as silent.
+/// Number of consecutive failures after which a target counts as hung.
 const FAILURE_THRESHOLD: u32 = 3;
-/// Weight of a new answer in the part of errors.
+/// EWMA weight of a new answer in the error rate.
 const ERROR_RATE_GAIN: f64 = 0.15;
-/// Time after which half of the part of errors is forgotten if nothing is heard: a target that
-/// gets nothing could else never show that it is well again.
+/// Half-life of the error rate. A target that gets no requests couldn't otherwise recover.
 const ERROR_RATE_HALF_LIFE: Duration = Duration::from_secs(4);
 
-/// State of a target as seen from its answers.
+/// Health of a target as observed from its answers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// It is silent or fails, and gets nothing.
+    /// Silent or failing; gets no requests.
     #[display("hung")]
     Hung,
-    /// It is tried again by one cheap request.
+    /// Hung, with one short trial request in progress.
     #[display("trial")]
     Trial,
-    /// It answers.
+    /// Responding.
     #[default]
     #[display("well")]
     Well,
 }
 
-/// Signs of life of one target.
+/// Health record of one target.
 #[derive(Clone, Debug)]
 pub struct Health {
-    /// Part of its last answers that were errors, when it was last heard.
+    /// Fraction of errors among recent answers, as of `error_rate_at`.
     error_rate: f64,
     error_rate_at: Instant,
     consecutive_failures: u32,
@@ -47,7 +46,7 @@
 }
 
 impl Health {
-    /// A target that is taken to be well.
+    /// Creates the record of a target that is assumed to be healthy.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -61,20 +60,20 @@
         }
     }
 
-    /// The present state.
+    /// Current state.
     #[must_use]
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Whether a trial request may be sent.
+    /// Returns `true` if a trial request may be sent.
     #[must_use]
     pub fn is_trial_due(&self, now: Instant) -> bool {
         self.state == State::Hung && now >= self.trial_at
     }
 
-    /// A request was granted; `is_idle` if nothing else runs there, so that silence counts from
-    /// now on. Returns whether it is a trial.
+    /// Records a grant and returns `true` if it is a trial. `is_idle` means that nothing else runs
+    /// on the target, so that its silence counts from now on.
     pub fn record_grant(&mut self, is_idle: bool, now: Instant) -> bool {
         let is_trial = self.state == State::Hung;
         if is_trial {
@@ -86,7 +85,7 @@
         is_trial
     }
 
-    /// The target produced a token or a whole answer.
+    /// Records output of the target: a token or a complete answer.
     pub fn record_activity(&mut self, now: Instant) {
         self.consecutive_failures = 0;
         self.last_activity = now;
@@ -94,20 +93,20 @@
         self.trial_backoff = INITIAL_TRIAL_BACKOFF;
     }
 
-    /// The target gave a whole answer.
+    /// Records a complete answer.
     pub fn record_success(&mut self, now: Instant) {
         self.record_activity(now);
         self.update_error_rate(0.0, now);
     }
 
-    /// The target answered that it failed. It lives, and what it says may be the request's fault;
-    /// only how often it says so tells of the target.
+    /// Records an error response. The target is alive and the error may be the request's fault, so
+    /// only the error rate counts.
     pub fn record_error(&mut self, now: Instant) {
         self.record_activity(now);
         self.update_error_rate(1.0, now);
     }
 
-    /// Part of its answers that are errors, from 0 to 1.
+    /// Fraction of errors among recent answers, from 0 to 1.
     #[must_use]
     pub fn error_rate(&self, now: Instant) -> f64 {
         let since = now
@@ -122,7 +121,7 @@
         self.error_rate_at = now;
     }
 
-    /// The target failed a request.
+    /// Records a request without a complete answer.
     pub fn record_failure(&mut self, now: Instant) {
         self.consecutive_failures += 1;
         if self.consecutive_failures >= FAILURE_THRESHOLD || self.state == State::Trial {
@@ -130,7 +129,7 @@
         }
     }
 
-    /// A trial request went away without a word of the target; another one may follow.
+    /// Ends a trial without a result; another one may follow at once.
     pub fn cancel_trial(&mut self, now: Instant) {
         if self.state == State::Trial {
             self.state = State::Hung;
@@ -138,7 +137,8 @@
         }
     }
 
-    /// Judges the silence of a target with running requests against the longest one expected.
+    /// Marks the target as hung if it has been silent for longer than `timeout`. Called for targets
+    /// with running requests only.
     pub fn check_silence(&mut self, timeout: Duration, now: Instant) {
         let silence = now.saturating_duration_since(self.last_activity);
         if self.state != State::Hung && silence > timeout {
--- a/crates/lilaccrank/src/dispatch/inflight.rs
+++ b/crates/lilaccrank/src/dispatch/inflight.rs
@@ -1,26 +1,26 @@
-//! Prefixes that targets are reading just now.
+//! Prefixes whose prefill is in progress.
 //!
-//! An engine looks up its cache when it admits a request, and stores a prompt once all of it is
-//! read. A prompt sent behind another one with the same prefix is read a second time, also by the
-//! same engine; sent after the first token of the other one it is not.
+//! An engine looks up its cache when it admits a request and stores a prompt when the prefill has
+//! finished. Of two prompts with the same prefix, the second is prefilled again if it is sent
+//! before the first token of the first one, even on the same engine.
 
 use indexmap::IndexMap;
 
-/// Digests of prompts that are being read, with the number of requests that have each.
+/// Digests of prompts in prefill, with the number of requests for each.
 #[derive(Debug, Default)]
 pub(super) struct InflightPrefixes {
     requests: IndexMap<u64, u32>,
 }
 
 impl InflightPrefixes {
-    /// A prompt is sent.
+    /// Adds a prompt that was sent.
     pub(super) fn add(&mut self, prefix: &[u64]) {
         for digest in prefix {
             *self.requests.entry(*digest).or_default() += 1;
         }
     }
 
-    /// A prompt is read, or its request has ended.
+    /// Removes a prompt whose prefill has finished or whose request has ended.
     pub(super) fn remove(&mut self, prefix: &[u64]) {
         for digest in prefix {
             let Some(requests) = self.requests.get_mut(digest) else {
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Blocks from the start of the prefix that are being read somewhere.
+    /// Number of leading blocks of the prefix that are in prefill on some target.
     pub(super) fn blocks(&self, prefix: &[u64]) -> usize {
         prefix.partition_point(|digest| self.requests.contains_key(digest))
     }
--- a/crates/lilaccrank/src/dispatch/limits.rs
+++ b/crates/lilaccrank/src/dispatch/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of rate and concurrency, by rule and optionally by customer.
+//! Rate and concurrency limits per rule, optionally per customer.
 
 use std::time::{Duration, Instant};
 
@@ -9,26 +9,26 @@
 use crate::document::Limit;
 use crate::ids::{CustomerId, RuleId};
 
-/// Retry-After when all places of a concurrency limit are taken.
+/// `Retry-After` before jitter when a concurrency limit is reached.
 const CONCURRENCY_RETRY: Duration = Duration::from_secs(1);
-/// Counters that are kept before those without effect are dropped.
+/// Number of counters above which inactive ones are removed.
 const MAX_COUNTERS: usize = 4096;
 
-/// Result of taking a place under a limit.
+/// Result of a limit check.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why a limit lets a request not pass.
+/// Why a limit rejects a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, thiserror::Error)]
 pub enum Error {
-    /// Too many requests at once or in a second.
+    /// The rate or concurrency limit is reached.
     #[error("limit reached, try again in {retry_after:?}")]
     Reached {
-        /// When a place can be free again, with jitter.
+        /// Delay until a retry may succeed, with jitter.
         retry_after: Duration,
     },
 }
 
-/// What is counted together.
+/// Key of a counter: the rule, and the customer if the limit is per customer.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct CounterKey {
     customer: Option<CustomerId>,
@@ -66,7 +66,7 @@
 }
 
 impl Limits {
-    /// Takes a place for a request; `None` if no limit applies.
+    /// Counts a request against the limit; returns `None` if no limit applies.
     pub fn acquire(&mut self, ask: &Ask, now: Instant) -> Result<Option<CounterKey>> {
         let Some(limit) = ask.limit else {
             return Ok(None);
@@ -91,14 +91,14 @@
         Ok(Some(counter_key(ask, limit)))
     }
 
-    /// Counts a request that another dispatcher let pass.
+    /// Counts a request that another dispatcher has admitted, without checking the limit.
     pub fn take_over(&mut self, ask: &Ask, now: Instant) -> Option<CounterKey> {
         let limit = ask.limit?;
         self.counter(ask, limit, now).in_progress += 1;
         Some(counter_key(ask, limit))
     }
 
-    /// Gives a place back.
+    /// Ends a counted request.
     pub fn release(&mut self, counter_key: &CounterKey) {
         if let Some(counter) = self.counters.get_mut(counter_key) {
             counter.in_progress = counter.in_progress.saturating_sub(1);
--- a/crates/lilaccrank/src/dispatch/message.rs
+++ b/crates/lilaccrank/src/dispatch/message.rs
@@ -10,163 +10,163 @@
 use crate::ids::{CustomerId, Incarnation, Rank, RequestId, RuleId, Tier, VmId};
 use crate::target_life::TargetLife;
 
-/// Counts the asks for one request; a grant of an earlier ask is void.
+/// Sequence number of the asks for one request; a grant of an earlier ask is void.
 pub type AskNumber = u64;
 
-/// Asks for a target for one request.
+/// Ask for a slot on a target on behalf of one request.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Ask {
-    /// Which ask for this request it is.
+    /// Number of this ask.
     pub ask: AskNumber,
-    /// The part of its answer that its caller has.
+    /// Part of the answer that the caller already has.
     #[serde(default)]
     pub partial: Option<PartialAnswer>,
-    /// Whose request it is.
+    /// Customer that the request belongs to.
     pub customer: CustomerId,
-    /// Time left until the whole answer is due.
+    /// Time until the complete answer is due.
     pub deadline: Option<Duration>,
-    /// Daemon that owns the request.
+    /// VM of the entry daemon that owns the request.
     pub entry: VmId,
-    /// Life of that daemon.
+    /// Incarnation of the entry daemon.
     pub entry_incarnation: Incarnation,
-    /// Targets that must not be granted, since they failed this request before.
+    /// Targets that must not be granted because they failed this request before.
     pub exclusions: Vec<TargetLife>,
-    /// Limits of the rule that matched.
+    /// Limits of the matching rule.
     pub limit: Option<Limit>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u32,
-    /// Chain of digests over the blocks of the prompt, see [`crate::prompt::prefix_digests`].
+    /// Chained digests of the blocks of the prompt, see [`crate::prompt::prefix_digests`].
     pub prefix: Vec<u64>,
-    /// Time left until the caller expects the first token, or the whole answer of a plain service.
+    /// Time until the caller expects the first token, or the complete answer of a plain service.
     pub objective: Option<Duration>,
     /// Length of the prompt in tokens.
     pub prompt_tokens: u32,
     /// Rank of the customer.
     pub rank: Rank,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Rule that matched.
+    /// Matching rule.
     pub rule: RuleId,
     /// Tier of the request.
     pub tier: Tier,
-    /// Longest time in the queue.
+    /// Maximum time in the queue.
     pub wait_at_most: Option<Duration>,
-    /// Share of the customer among those of its tier; 0 counts as 1.
+    /// Weight of the customer within its tier; 0 counts as 1.
     pub weight: u32,
 }
 
-/// The part of an answer that its caller has; the next target resumes behind it.
+/// Part of an answer that the caller already has; the next target resumes after it.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PartialAnswer {
-    /// Expected time to the end of the answer at the target that still generates it; `None` if that
-    /// target broke off. While one generates, only a target that is clearly faster is of use, and the ask
-    /// may wait for it.
+    /// Expected time until the current target finishes the answer; `None` if that target has
+    /// stopped. While a target is still generating, only a clearly faster one is useful, and the
+    /// ask may wait for it.
     pub remaining: Option<Duration>,
-    /// Tokens that its caller has.
+    /// Number of tokens that the caller has.
     pub tokens: u32,
 }
 
 /// Answer to an [`Ask`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Verdict {
-    /// The request may be sent, once, to this target.
+    /// The request may be sent once to the granted target.
     Grant(Grant),
-    /// The request is not to be sent.
+    /// The request must not be sent.
     Refuse(Refuse),
 }
 
-/// Leave to send one request to one target.
+/// Permission to send one request to one target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Grant {
-    /// The ask that is answered; void if the entry has asked again since.
+    /// Number of the answered ask; the grant is void if the entry daemon has asked again since.
     pub ask: AskNumber,
-    /// Vm of the dispatcher; void if another dispatcher was asked since.
+    /// VM of the dispatcher; the grant is void if another dispatcher was asked since.
     pub dispatcher: VmId,
-    /// Life of the dispatcher.
+    /// Incarnation of the dispatcher.
     pub dispatcher_incarnation: Incarnation,
-    /// Time to the whole answer by which it was judged, if it is known.
+    /// Completion time that was checked against the deadline, if known.
     #[serde(default)]
     pub expected: Option<Duration>,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Where to send it.
+    /// Target to send the request to.
     pub target: TargetLife,
 }
 
 /// Refusal of one ask; the request was not run for it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Refuse {
-    /// The ask that is answered.
+    /// Number of the refused ask.
     pub ask: AskNumber,
-    /// The reason.
+    /// Reason of the refusal.
     pub kind: ErrorKind,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// When another try makes sense.
+    /// Delay after which a retry makes sense.
     pub retry_after: Option<Duration>,
-    /// What its time did not suffice for, if that is the reason.
+    /// Details, if the deadline or the objective can't be met.
     #[serde(default)]
     pub unmeetable: Option<Unmeetable>,
 }
 
-/// Why an ask can't be met in the time that it has.
+/// Why an ask can't be met in time.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum Unmeetable {
-    /// No target can end it in time, behind the work that goes first.
+    /// No target can meet the deadline after the work ahead.
     #[serde(rename = "Hopeless")]
     #[display("no target can end it in time")]
     Infeasible,
-    /// The best open target can't end it in the time that is left.
+    /// The best eligible target can't meet the deadline.
     #[display("the best free target can't end it in the time that is left")]
     TooSlow,
-    /// It waited for as long as its answer could begin in time.
+    /// The ask waited until its answer could no longer start in time.
     #[serde(rename = "Waited")]
     #[display("no target came free in time")]
     TimedOut,
-    /// Waits of its tier have mostly ended without a target of late.
+    /// Most recent waits of the tier have ended without a grant.
     #[serde(rename = "WaitsInVain")]
     #[display("its tier is waiting for nothing at present")]
     TierStarved,
 }
 
-/// What an entry daemon saw of a granted request.
+/// Report of an entry daemon on a granted request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Report {
-    /// The ask that was granted.
+    /// Number of the granted ask.
     pub ask: AskNumber,
-    /// What happened.
+    /// The reported event.
     pub kind: ReportKind,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Where it runs.
+    /// Target that runs the request.
     pub target: TargetLife,
 }
 
-/// What happened to a granted request.
+/// Event of a granted request.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub enum ReportKind {
-    /// It was sent to the target. A grant of which nothing is heard for ten seconds lapses.
+    /// The request was sent to the target. An unconfirmed grant expires after ten seconds.
     Began,
-    /// It has ended, whole or not.
+    /// The request has ended, with or without a complete answer.
     Ended {
-        /// Tokens generated.
+        /// Number of generated tokens.
         decoded: u32,
-        /// How it ended.
+        /// How the request ended.
         outcome: Outcome,
-        /// Tokens of prefill that the target computed, if it said so.
+        /// Number of prefill tokens that the target computed, if reported.
         prefill: Option<u32>,
     },
-    /// The first token came.
+    /// The first token has arrived.
     FirstToken {
-        /// Time since it was sent.
+        /// Time since the request was sent.
         after: Duration,
     },
-    /// More tokens came. Told at least each second while tokens come, else the target counts as
-    /// silent.
+    /// More tokens have arrived. Reported at least once per second while tokens arrive; otherwise
+    /// the target counts as silent.
     Progress {
         /// Mean time between these tokens.
         step: Duration,
-        /// Tokens since the last report.
+        /// Number of tokens since the last report.
         tokens: u32,
     },
 }
@@ -174,74 +174,74 @@
 /// How a granted request ended.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Outcome {
-    /// The caller went away.
+    /// The caller disconnected.
     Cancelled,
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
-    /// The target answered that it failed, or that it would not run it.
+    /// The target returned an error or rejected the request.
     Erred,
-    /// The target gave no whole answer.
+    /// The target gave no complete answer.
     Failed,
     /// The grant was not used.
     Unused,
 }
 
-/// Takes back an ask, also one that is already granted.
+/// Cancels an ask, waiting or granted.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Cancel {
-    /// The last ask that is taken back.
+    /// Number of the last ask to cancel; earlier ones are cancelled too.
     pub ask: AskNumber,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
 }
 
-/// One life of an entry daemon.
+/// One incarnation of an entry daemon.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct Entry {
-    /// Life of the daemon.
+    /// Incarnation of the daemon.
     pub incarnation: Incarnation,
-    /// Its vm.
+    /// VM of the daemon.
     pub vm: VmId,
 }
 
-/// A request that runs on a target, as its entry tells a new dispatcher.
+/// Running request, as reported by its entry daemon to a new dispatcher.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Running {
-    /// The ask that was granted, with the lengths of the request.
+    /// The granted ask, with the length of the request.
     pub ask: Ask,
-    /// Tokens generated so far; `None` before the first.
+    /// Number of tokens generated so far; `None` before the first.
     pub decoded: Option<u32>,
-    /// Where it runs.
+    /// Target that runs the request.
     pub target: TargetLife,
 }
 
-/// All that one entry daemon has with this pool; replaces what was known of it.
+/// All requests of one entry daemon in this pool; replaces its previous state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Resync {
-    /// Who tells.
+    /// The entry daemon.
     pub entry: Entry,
-    /// Requests that run.
+    /// Running requests.
     pub running: Vec<Running>,
-    /// Asks without a verdict.
+    /// Waiting asks.
     pub waiting: Vec<Ask>,
 }
 
-/// A target's own report of its load, which lags.
+/// A target's report of its own load, which lags.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadReport {
-    /// Requests in its batch.
+    /// Number of requests in its batch.
     pub running: u32,
-    /// Requests in its own queue.
+    /// Number of requests in its queue.
     pub waiting: u32,
 }
 
-/// A change in a target's prefix cache.
+/// Change of a target's prefix cache.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum CacheEvent {
-    /// Everything was dropped.
+    /// The cache was cleared.
     Cleared,
-    /// The block with this digest was dropped.
+    /// The block with this digest was evicted.
     Evicted(u64),
-    /// The block with this digest is held.
+    /// The block with this digest was stored.
     Stored(u64),
 }
--- a/crates/lilaccrank/src/dispatch/overload.rs
+++ b/crates/lilaccrank/src/dispatch/overload.rs
@@ -1,4 +1,4 @@
-//! Overload: what is refused when more comes than the pool can do.
+//! Overload: expiry and load shedding of waiting asks.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 use crate::ids::RequestId;
 
 impl State {
-    /// Refuses what is too late.
+    /// Refuses the asks that have waited too long.
     pub(super) fn expire_waiting(&mut self, now: Instant) {
         while let Some(request) = self.queue.expired(now).cloned() {
             let retry = self.retry_after(&request, now);
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Refuses all that waits.
+    /// Refuses all waiting asks.
     pub(super) fn refuse_all(&mut self, kind: ErrorKind, now: Instant) {
         let requests: Vec<RequestId> = self.queue.requests().cloned().collect();
         for request in requests {
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Sheds from the lowest tier until the queue is within its limit. During a handover other
-    /// entries may yet bring lower work, so only the lowest tier of all is shed, unless the queue
-    /// grows to twice its limit.
+    /// Sheds asks, lowest tier first, until the queue is within its limit. During a handover, entry
+    /// daemons that have not resynced may still bring lower tiers; only the configuration's lowest
+    /// tier is shed then, unless the queue exceeds twice its limit.
     pub(super) fn shed(&mut self, now: Instant) {
         while self.queue.len() > self.cfg.waiting_limit {
             let Some(victim) = self.queue.victim() else {
--- a/crates/lilaccrank/src/dispatch/queue.rs
+++ b/crates/lilaccrank/src/dispatch/queue.rs
@@ -1,8 +1,9 @@
-//! The queue of a pool: tiers in order, and inside a tier customers in fair order.
+//! Queue of a pool: priorities in order, and weighted fair queueing between the customers of each.
 //!
-//! Inside a tier the customer with the least virtual time goes first; a grant moves its virtual
-//! time on by the request's tokens over the customer's weight. Work is counted in tokens because
-//! lengths differ a hundredfold: counted in requests, a customer with long ones takes nearly all.
+//! Within a priority, the customer with the least virtual time goes first; a grant advances its
+//! virtual time by the tokens of the request divided by the customer's weight. Work is counted in
+//! tokens because request lengths differ by a factor of a hundred: counted in requests, a customer
+//! with long requests would get nearly all of the capacity.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -14,53 +15,53 @@
 use super::work::Work;
 use crate::ids::{CustomerId, Rank, RequestId, Tier};
 
-/// Kinds of asks that wait for different room, so that one kind doesn't block another.
+/// Kinds of asks that need different targets, so that one kind doesn't block another.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Lane {
-    /// Another target is to resume the answer.
+    /// Resumes an answer on another target.
     Resumed,
-    /// Some targets are excluded.
+    /// Excludes some targets.
     Excluding,
-    /// The prompt is long.
+    /// Has a long prompt.
     Long,
-    /// All others.
+    /// All other asks.
     Short,
 }
 
 impl Lane {
-    /// Every lane.
+    /// All lanes.
     pub const ALL: [Self; 4] = [Self::Resumed, Self::Excluding, Self::Long, Self::Short];
 }
 
-/// Where an ask stands among all that wait; lesser goes first.
+/// Order of the waiting asks by rank, then tier; lower goes first.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Priority {
-    /// Rank of its customer.
+    /// Rank of the customer.
     pub rank: Rank,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: Tier,
 }
 
-/// What the queue knows of a waiting ask.
+/// Queue entry of a waiting ask.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// Whose request it is.
+    /// Customer that the request belongs to.
     pub customer: CustomerId,
-    /// Where it waits.
+    /// Lane that the ask waits in.
     pub lane: Lane,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Its standing.
+    /// Priority of the ask.
     pub priority: Priority,
-    /// When waiting longer has no use.
+    /// Time at which the ask expires.
     pub until: Option<Instant>,
-    /// Share of the customer.
+    /// Weight of the customer.
     pub weight: u32,
-    /// Its length.
+    /// Length in tokens.
     pub work: Work,
 }
 
-/// Asks that wait, in order of dispatch.
+/// Waiting asks in order of dispatch.
 #[derive(Debug, Default)]
 pub struct Queue {
     expiries: BTreeSet<(Instant, RequestId)>,
@@ -71,8 +72,8 @@
 }
 
 impl Queue {
-    /// Puts an ask behind the others of its customer. A request waits once: an earlier item of
-    /// the same request is replaced.
+    /// Adds an ask after the others of its customer, and replaces an earlier ask of the same
+    /// request.
     pub fn push(&mut self, item: Item) {
         self.remove(&item.request);
         let sequence = self.next_sequence;
@@ -88,12 +89,12 @@
         self.items.insert(item.request.clone(), item);
     }
 
-    /// Takes an ask out because it is granted, and charges its customer.
+    /// Removes a granted ask and charges its customer.
     pub fn grant(&mut self, request: &str) -> Option<Item> {
         self.take(request, FairQueue::charge)
     }
 
-    /// Takes an ask out without a charge.
+    /// Removes an ask without charging its customer.
     pub fn remove(&mut self, request: &str) -> Option<Item> {
         self.take(request, |_, _| ())
     }
@@ -110,7 +111,7 @@
         Some(item)
     }
 
-    /// Standings with waiting asks, the first to go first.
+    /// Priorities with waiting asks, in order.
     pub fn priorities(&self) -> impl Iterator<Item = Priority> + '_ {
         let nonempty = self
             .priorities
@@ -119,8 +120,8 @@
         nonempty.map(|(priority, _)| *priority)
     }
 
-    /// The first standing with an ask that would take any target with room. A resumed answer takes only
-    /// targets that finish it in time, so that room left to it would mostly stay unused.
+    /// First priority with an ask that would use any free slot. Resumed answers are ignored: they
+    /// use only targets that finish them in time, so a slot held for them would mostly stay unused.
     #[must_use]
     pub fn first_competing_priority(&self) -> Option<Priority> {
         let lanes = [Lane::Excluding, Lane::Long, Lane::Short];
@@ -131,7 +132,7 @@
         self.priorities().find(has_competing_ask)
     }
 
-    /// The first ask of each customer in one lane, in fair order.
+    /// First ask of each customer in one lane, in fair order.
     pub fn heads(&self, priority: Priority, lane: Lane) -> impl Iterator<Item = &Position> + '_ {
         self.priorities
             .get(&priority)
@@ -139,24 +140,25 @@
             .flat_map(move |queue| queue.heads(lane))
     }
 
-    /// The ask to shed next: of the last standing that waits, of the customer with the most work
-    /// waiting for its weight, the newest. So a burst of one customer costs only its own places.
+    /// The ask to shed next: the newest one of the customer with the largest backlog per weight, in
+    /// the last priority with waiting asks. A burst of one customer therefore displaces only its
+    /// own asks.
     #[must_use]
     pub fn victim(&self) -> Option<&Item> {
         let request = self.priorities.values().rev().find_map(FairQueue::victim)?;
         self.items.get(request)
     }
 
-    /// The next ask for which it is too late at `now`. One that may not wait at all still has its
-    /// chance at the moment it comes.
+    /// Returns an ask that has expired at `now`. An ask without any waiting time expires only after
+    /// the moment of its arrival, so that it can still be granted at once.
     #[must_use]
     pub fn expired(&self, now: Instant) -> Option<&RequestId> {
         let (until, request) = self.expiries.first()?;
         (*until < now).then_some(request)
     }
 
-    /// Work that goes before a new ask of this customer: all of the standings before its own, and
-    /// of its own only each customer's fair part up to the new ask's turn.
+    /// Work ahead of a new ask of this customer: all work of the priorities before its own, and the
+    /// fair share of each customer in its own.
     #[must_use]
     pub fn work_ahead(&self, priority: Priority, customer: &str, weight: u32) -> Work {
         let before = self.priorities.range(..priority);
@@ -166,7 +168,7 @@
         before.fold(own, |sum, work| sum + work)
     }
 
-    /// All work of this standing and of those before it.
+    /// Total work of this priority and those before it.
     #[must_use]
     pub fn work_up_to(&self, priority: Priority) -> Work {
         let queues = self.priorities.range(..=priority);
@@ -174,25 +176,25 @@
         works.fold(Work::default(), |sum, work| sum + work)
     }
 
-    /// An ask by its request.
+    /// Looks up an ask by its request.
     #[must_use]
     pub fn get(&self, request: &str) -> Option<&Item> {
         self.items.get(request)
     }
 
-    /// Asks that wait.
+    /// Number of waiting asks.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns `true` if no ask waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Number of asks waiting in a tier.
+    /// Number of waiting asks of a tier.
     #[must_use]
     pub fn waiting(&self, tier: Tier) -> usize {
         let queues = self.priorities.iter();
@@ -200,7 +202,7 @@
         of_tier.map(|(_, queue)| queue.len()).sum()
     }
 
-    /// All that waits, in no order.
+    /// All waiting asks, in no particular order.
     pub fn requests(&self) -> impl Iterator<Item = &RequestId> + '_ {
         self.items.keys()
     }
--- a/crates/lilaccrank/src/dispatch/queue_deadline.rs
+++ b/crates/lilaccrank/src/dispatch/queue_deadline.rs
@@ -1,12 +1,11 @@
-//! How long an ask with an objective waits before its caller is told to come back.
+//! Maximum queueing time of an ask with an objective.
 //!
-//! A caller that hears late that there is no place has lost the time in which it could have gone
-//! elsewhere, or come back while its answer was still worth something. An ask waits as long as a
-//! target that comes free can still give it a first token in time. Work of the first tier goes on
-//! waiting for a part of the time that its caller has: late, it is still worth more than work of a
-//! later tier that takes its place. Late work of a tier behind it would take the places of work that
-//! can still be in time: in order of arrival all of a tier is late while it is asked for more than the
-//! targets can do.
+//! An ask waits only while a target that becomes free could still return the first token in time. A
+//! late refusal costs the caller time in which it could have gone elsewhere, or retried while the
+//! answer was still useful. Asks of the first tier wait longer, for a fraction of the time to their
+//! deadline, since even a late answer is worth more than work of a later tier. In any other tier,
+//! late work would take the slots of work that can still be in time: in order of arrival, an
+//! overloaded tier would be late throughout.
 
 use std::time::{Duration, Instant};
 
@@ -14,17 +13,17 @@
 use super::state::{self, State};
 use crate::ids::Tier;
 
-/// Part of its objective that an ask leaves for what estimates miss.
+/// Fraction of the objective kept as a margin for estimation errors.
 const OBJECTIVE_MARGIN: f64 = 0.1;
-/// Tiers from 0 on whose late answers go before other tiers' timely ones.
+/// Number of tiers, starting at 0, whose late answers go before timely ones of other tiers.
 const LATE_TIERS: Tier = 1;
-/// Part of the time to its deadline for which such an ask waits: what is left has to do for the
-/// answer itself.
+/// Fraction of the time to its deadline that such an ask waits; the rest is left for the answer
+/// itself.
 const LATE_WAIT_RATIO: f64 = 0.3;
 
 impl State {
-    /// When the ask stops waiting; `None` if its caller told no objective, or if another target generates
-    /// its answer meanwhile.
+    /// Returns the time at which the ask stops waiting, or `None` if it has no objective or another
+    /// target still generates its answer.
     pub(super) fn queue_deadline(&self, ask: &Ask, now: Instant) -> Option<Instant> {
         if ask
             .partial
@@ -42,7 +41,7 @@
         Some(now + Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX))
     }
 
-    /// Shortest time in which any live target gives a first token, if it is free, in seconds.
+    /// Shortest time to a first token on any live target without load, in seconds.
     fn min_time_to_first_token(&self, ask: &Ask, now: Instant) -> f64 {
         let prompt = state::work(ask).prefill as f64;
         let live = self.targets.values().filter(|target| target.live);
--- a/crates/lilaccrank/src/dispatch/rate_limit.rs
+++ b/crates/lilaccrank/src/dispatch/rate_limit.rs
@@ -1,10 +1,11 @@
 //! Distributed token buckets for the rate limits that targets advertise.
 //!
-//! The daemons of a cell replicate one bucket for each such target: a replica is charged with the requests that
-//! its daemon sends and with those that load updates of the others report. Concurrent requests may overdraw
-//! the bucket; all replicas carry the debt, so that the average rate holds. Cells that share a target see no
-//! load updates of each other and divide its rate. Each bucket holds two requests at least; with many
-//! cells that would be a burst, so that the rate limits how many cells use the target.
+//! The daemons of a cell replicate one bucket per target: each replica is charged with the requests
+//! of its own daemon and with those in the load digests of the others. Concurrent requests may
+//! overdraw the bucket; all replicas carry the debt, so the average rate holds. Cells that share a
+//! target don't exchange digests and divide its rate instead. Every bucket holds at least two
+//! requests, which would add up to a burst over many cells, so the rate limits how many cells use
+//! the target.
 
 use std::time::Instant;
 
@@ -12,26 +13,28 @@
 use crate::rendezvous;
 use crate::target_life::LifeDigest;
 
-/// Lowest rate that is applied. Without any request a target could not advertise the end of its limit.
+/// Minimum rate in requests per second. Without any requests, a target couldn't advertise the end
+/// of its limit.
 const MIN_RATE_PER_S: f64 = 0.1;
-/// Capacity of all buckets of a target together: seconds of its rate, and requests beside.
+/// Combined capacity of a target's buckets: this many seconds of its rate, plus a number of
+/// requests.
 const BURST_S: f64 = 1.0;
 const BURST: f64 = 2.0;
-/// Least capacity of a bucket.
+/// Minimum capacity of a bucket.
 const MIN_BURST: f64 = 2.0;
-/// Longest time to pay off a debt, in seconds.
+/// Maximum debt, in seconds of the share's rate.
 const MAX_DEBT_S: f64 = 4.0;
 
 /// A cell's share of a target's rate limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Share {
-    /// Capacity of the bucket.
+    /// Capacity of the bucket, in requests.
     pub burst: f64,
-    /// Requests per second; zero if the cell does not use the target.
+    /// Requests per second; zero if the cell doesn't use the target.
     pub per_s: f64,
 }
 
-/// The share of the cell `me` of a target's rate, where these cells send to it.
+/// Computes the share of the cell `me` of a target's rate, where `cells` send to the target.
 #[must_use]
 pub fn share(per_s: f64, target: LifeDigest, cells: &[CellId], me: CellId) -> Share {
     let per_s = per_s.max(MIN_RATE_PER_S);
@@ -56,7 +59,7 @@
     }
 }
 
-/// A replica of a cell's token bucket for one target.
+/// Replica of a cell's token bucket for one target.
 #[derive(Clone, Copy, Debug)]
 pub struct RateLimit {
     refilled: Instant,
@@ -65,7 +68,7 @@
 }
 
 impl RateLimit {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     #[must_use]
     pub fn new(share: Share, now: Instant) -> Self {
         Self {
@@ -87,14 +90,15 @@
         self.share
     }
 
-    /// Whether a request may be sent while tokens for `reserved` remain, as far as the bucket holds them.
+    /// Returns `true` if the bucket holds a token for a request and `reserved` more, or is full if
+    /// its capacity is lower than that.
     #[must_use]
     pub fn allows(&self, reserved: u32, now: Instant) -> bool {
         let required = (1.0 + f64::from(reserved)).min(self.share.burst);
         self.tokens(now) >= required.max(1.0)
     }
 
-    /// Charges requests that were sent.
+    /// Charges the bucket with sent requests.
     pub fn take(&mut self, requests: u32, now: Instant) {
         self.refill(now);
         let min_tokens = -self.share.per_s * MAX_DEBT_S - self.share.burst;
--- a/crates/lilaccrank/src/dispatch/recovery.rs
+++ b/crates/lilaccrank/src/dispatch/recovery.rs
@@ -1,7 +1,7 @@
-//! Change of dispatcher and death of entries.
+//! Change of dispatcher and failure of entry daemons.
 //!
-//! The dispatcher's state is soft: the entries own their requests and tell a new dispatcher what
-//! they have.
+//! The dispatcher's state is soft: entry daemons own their requests and send them to a new
+//! dispatcher.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use crate::error_kind::ErrorKind;
 use crate::ids::RequestId;
 
-/// A new dispatcher's wait for the entries.
+/// Handover to a new dispatcher that waits for the entry daemons.
 #[derive(Debug)]
 pub(super) struct Handover {
     expected: IndexSet<Entry>,
@@ -23,9 +23,9 @@
 }
 
 impl State {
-    /// Grants nothing until all `expected` entries have resynced or the grace is over. Before
-    /// that the queue is not known: a grant could pass more urgent work that is yet to be told,
-    /// and fill targets that run requests of others.
+    /// Grants nothing until all `expected` entry daemons have resynced or the grace period is over.
+    /// Until then the queue is incomplete: a grant could overtake more urgent work that is not yet
+    /// known, or overload targets that run unknown requests.
     pub(super) fn begin_handover(&mut self, expected: Vec<Entry>, grace: Duration, now: Instant) {
         self.handover = Some(Handover {
             expected: expected.into_iter().collect(),
@@ -34,7 +34,7 @@
         self.check_handover(now);
     }
 
-    /// Ends a handover that is complete or late.
+    /// Ends a handover that is complete or has timed out.
     pub(super) fn check_handover(&mut self, now: Instant) {
         let is_over = |handover: &Handover| handover.expected.is_empty() || now >= handover.until;
         if self.handover.as_ref().is_some_and(is_over) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Replaces what is known of one entry by what it tells.
+    /// Replaces the state of one entry daemon with its resync.
     pub(super) fn resync(&mut self, resync: Resync, now: Instant) {
         self.drop_earlier_incarnations(&resync.entry, now);
         let running = resync.running.iter().map(|running| &running.ask);
@@ -70,7 +70,8 @@
         self.shed(now);
     }
 
-    /// Drops all that a dead entry had: nobody waits for it any more.
+    /// Removes all requests of an entry daemon that has failed, since nobody waits for them any
+    /// more.
     pub(super) fn forget_entry(&mut self, entry: &Entry, now: Instant) {
         self.drop_requests_of(|other| other == entry, now);
         if let Some(handover) = &mut self.handover {
@@ -106,9 +107,9 @@
         }
     }
 
-    /// Drops what the entry no longer knows. A call that still waits here, or a grant that it
-    /// has not confirmed, may be younger than the resync and is kept; the end of the call or the
-    /// lapse of the grant clears it.
+    /// Removes requests that the entry daemon no longer has. An ask with a waiting call, or an
+    /// unconfirmed grant, may be newer than the resync and is kept; it ends with the call or when
+    /// the grant expires.
     fn drop_unreported(&mut self, entry: &Entry, reported: &IndexSet<RequestId>, now: Instant) {
         let waiting = self.waiting.values().filter(|waiting| {
             waiting.waiter.is_none()
@@ -150,7 +151,7 @@
             prefill,
             target: running.target,
         };
-        // A target that the configuration doesn't name gets nothing new, and still counts.
+        // A target that isn't in the configuration gets no new work, but its load still counts.
         self.targets
             .entry(choice.target.clone())
             .or_insert_with(|| Target::unlisted(choice.target.clone(), now));
--- a/crates/lilaccrank/src/dispatch/reports.rs
+++ b/crates/lilaccrank/src/dispatch/reports.rs
@@ -1,4 +1,4 @@
-//! What entries and targets tell about granted requests.
+//! Reports of entry daemons and targets on load and granted requests.
 
 use std::time::Instant;
 
@@ -12,13 +12,13 @@
 use crate::error_kind::ErrorKind;
 use crate::target_life::TargetLife;
 
-/// Weight of a new sample in the usual length of answers.
+/// EWMA weight of a new sample in the length ratio of answers.
 const LENGTH_RATIO_GAIN: f64 = 0.05;
-/// Shortest usual length that is believed.
+/// Lower bound of the length ratio.
 const MIN_LENGTH_RATIO: f64 = 0.01;
 
 impl State {
-    /// Takes in a report of an entry; one of an earlier ask is too late and is dropped.
+    /// Applies a report of an entry daemon; a report on an earlier ask is ignored.
     pub(super) fn report(&mut self, report: &Report, now: Instant) {
         let active_grant = self.active_grants.get_mut(&report.request);
         let Some(active_grant) = active_grant.filter(|active_grant| active_grant.ask == report.ask)
@@ -91,7 +91,7 @@
         self.dispatch(now);
     }
 
-    /// Takes in a target's own report.
+    /// Applies a target's own load report.
     pub(super) fn load_report(&mut self, target: &TargetLife, report: LoadReport, now: Instant) {
         if let Some(target) = self.targets.get_mut(target) {
             target.estimate.record_report(report, now);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes in cache events of a target.
+    /// Applies cache events of a target.
     pub(super) fn cache_events(
         &mut self,
         target: &TargetLife,
@@ -113,8 +113,9 @@
         }
     }
 
-    /// Takes over the targets of the pool in this data centre. Those that drain or are gone get
-    /// nothing from now on, and are kept until what they run has ended.
+    /// Replaces the target list with the pool's targets in the data centres that `is_near` accepts.
+    /// Targets that are draining or no longer listed get no new work, and are kept until their
+    /// running requests have ended.
     pub(super) fn set_targets(
         &mut self,
         pool: &Pool,
@@ -126,7 +127,7 @@
         }
         let nearby = pool.targets.iter();
         let nearby: Vec<_> = nearby.filter(|t| is_near(&t.data_centre)).collect();
-        // Nothing that is known of an earlier life of a target holds for the present one.
+        // Observations of an earlier incarnation of a target don't apply to the current one.
         let known = self.targets.values();
         let is_listed =
             |life: &TargetLife| nearby.iter().any(|listed| TargetLife::of(listed) == *life);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Drops a target that gets nothing and runs nothing.
+    /// Removes a target that is not live and has no running requests.
     pub(super) fn remove_if_drained(&mut self, life: &TargetLife) {
         let target = self.targets.get(life);
         if target.is_some_and(|target| !target.live && target.estimate.running() == 0) {
--- a/crates/lilaccrank/src/dispatch/reservation.rs
+++ b/crates/lilaccrank/src/dispatch/reservation.rs
@@ -1,29 +1,30 @@
 //! Slots of a target that a request leaves free for the tiers before its own.
 //!
-//! An engine's slot is held for seconds by a long answer. Filled up with these, a target makes urgent work
-//! wait for the end of one, which is mostly longer than its caller does. A request that gives its slot back
-//! well within the objective of an earlier tier hardly delays it. Where its own tier is served least, it
-//! leaves accordingly less, so that short work of a last tier does not starve behind reservations.
+//! A long answer occupies a slot for seconds. On a target full of them, urgent work would wait
+//! until one ends, which is mostly longer than its caller waits. A request that frees its slot well
+//! within the objective of an earlier tier hardly delays that tier. If its own tier is served
+//! least, it therefore leaves correspondingly fewer slots, so that short requests of the last tier
+//! don't starve.
 
 use std::time::Duration;
 
-/// Part of a target's slots that is reserved for each tier before a request's own.
+/// Fraction of a target's slots reserved for each earlier tier.
 const RESERVED_FRACTION: f64 = 1.0 / 7.0;
-/// Most tiers for which slots are reserved.
+/// Maximum number of tiers with reserved slots.
 const RESERVED_TIERS: usize = 2;
 
-/// What the tiers before a request's own reserve.
+/// Reservation of the tiers before a request's own.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reservation {
-    /// Whether the request leaves less the shorter it holds a slot.
+    /// If set, the reservation shrinks with the time that the request holds a slot.
     scales_with_hold: bool,
     objectives: [Duration; RESERVED_TIERS],
-    /// Tiers for which slots are reserved.
+    /// Number of tiers with reserved slots.
     tiers: usize,
 }
 
 impl Reservation {
-    /// What tiers with these objectives, the most urgent first, reserve.
+    /// Creates the reservation of tiers with these objectives, most urgent first.
     #[must_use]
     pub fn new(objectives: impl Iterator<Item = Duration>, scales_with_hold: bool) -> Self {
         let mut reservation = Self {
@@ -37,7 +38,7 @@
         reservation
     }
 
-    /// The same without the tier just before the request's own.
+    /// Returns the reservation without the tier just before the request's own.
     #[must_use]
     pub fn without_last(self) -> Self {
         Self {
@@ -46,8 +47,9 @@
         }
     }
 
-    /// Slots out of `slots` that a request leaves free if it will hold one for `hold_s` seconds: at least one,
-    /// if any tier is before its own.
+    /// Number of slots out of `slots` to leave free for a request that will hold one for `hold_s`
+    /// seconds. At least one if there is an earlier tier, unless the target has too few slots to
+    /// reserve any.
     #[must_use]
     pub fn slots(&self, slots: u32, hold_s: f64) -> u32 {
         let objectives = &self.objectives[..self.tiers];
@@ -56,7 +58,7 @@
         reserved(tiers).max(reserved(self.tiers as f64).min(1))
     }
 
-    /// Requests that are left to earlier tiers where a target takes only so many a second.
+    /// Number of requests to leave to earlier tiers under a target's rate limit.
     #[must_use]
     pub fn requests(&self) -> u32 {
         self.tiers as u32
--- a/crates/lilaccrank/src/dispatch/sharing.rs
+++ b/crates/lilaccrank/src/dispatch/sharing.rs
@@ -1,9 +1,8 @@
-//! What daemons that each dispatch their own requests tell each other of a pool.
+//! Load digests exchanged by daemons that each dispatch their own requests to a pool.
 //!
-//! A digest tells what has changed since the last few, and every quarter of a second all that its
-//! sender has on the targets, so that one that is lost costs nothing but its time. What was seen of
-//! targets is told once; all daemons then know a target's speed as well as one that alone sent it
-//! everything.
+//! A digest contains recent changes, and every quarter of a second the sender's complete load, so
+//! that a lost digest costs only a short delay. Samples of target speed and health are sent once;
+//! with them, every daemon knows a target as well as if it had sent all requests itself.
 
 use std::time::{Duration, Instant};
 
@@ -22,57 +21,56 @@
 
 pub use sample::{Observation, Sample};
 
-/// A peer of which nothing is heard for this long has nothing on the targets any more: its
-/// connections ended with it, or it is cut off and its targets with it. Digests come four times a
-/// second at least.
+/// Time without digests after which a peer's load is dropped: its connections have ended, or it is
+/// partitioned together with its targets. Digests are sent at least four times per second.
 const PEER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest time between two digests that tell all.
+/// Maximum interval between two complete digests.
 const FULL_DIGEST_INTERVAL: Duration = Duration::from_millis(250);
-/// Digests that tell one change: of datagrams one in forty is lost on a bad link, and three in a row
-/// once in 64,000 times; the next one that tells all makes good for these.
+/// Number of digests that repeat a change. On a bad link one datagram in 40 is lost, so all three
+/// are lost once in 64,000 times; the next complete digest makes up for that.
 const CHANGE_REPEATS: u8 = 3;
-/// Longest time that a sample of another daemon may tell of: an hour's prompt. More was made up, and
-/// would take a sound target out for good.
+/// Maximum duration in a peer's sample, enough for a prompt that takes an hour. A longer one must
+/// be invalid, and would exclude a healthy target for good.
 const MAX_SAMPLE_DURATION: Duration = Duration::from_secs(3_600);
-/// Samples kept between two digests; more would only make the estimates finer.
+/// Maximum number of samples per digest; more would hardly improve the estimates.
 const SAMPLES_LIMIT: usize = 64;
-/// Free slots of a target from which on a change there is told at once. The others choose by what they
-/// know: with more room than that, two of them may choose the same target and none waits for it.
+/// Number of free slots up to which a change on a target is sent at once. With more free slots, two
+/// daemons with outdated digests may choose the same target without a wait on it.
 const LOW_FREE_SLOTS: u32 = 2;
-/// The same for prompts that it still has to read, in seconds of reading: half of what work of a last
-/// tier may wait behind.
+/// Prefill backlog above which a change on a target is sent at once, in seconds: half of the
+/// backlog limit of the last tier.
 const LOW_PREFILL_BACKLOG_S: f64 = 0.03;
 
-/// What one daemon has on the targets of a pool.
+/// Load of one daemon on the targets of a pool.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Digest {
-    /// Its requests by target.
+    /// Its load by target.
     pub loads: Vec<TargetLoad>,
-    /// What it saw since its last digest.
+    /// Samples since its last digest.
     pub samples: Vec<Sample>,
-    /// Running counts of requests sent to targets with a rate limit.
+    /// Cumulative number of requests sent to each target with a rate limit.
     pub sent: Vec<(LifeDigest, u32)>,
-    /// Standing of the first ask that waits there for any target.
+    /// Priority of the first waiting ask that would use any free slot.
     pub waiting: Option<Priority>,
-    /// Whether it has nothing on the targets that are left out; else they are as they were.
+    /// If set, targets that are left out have no load; otherwise their load is unchanged.
     pub whole: bool,
 }
 
-/// Requests of one daemon on one target.
+/// Load of one daemon on one target.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TargetLoad {
-    /// Tokens of prompts still to be read.
+    /// Outstanding prefill tokens.
     pub prefill: u64,
-    /// Number of requests.
+    /// Number of running requests.
     pub running: u32,
-    /// The target.
+    /// Digest of the target.
     pub target: LifeDigest,
 }
 
-/// What the other daemons have on the targets, and what they were told.
+/// Load of the other daemons, and the state that was last sent to them.
 #[derive(Debug, Default)]
 pub(super) struct Sharing {
-    /// Whether something has changed that decides where others send.
+    /// Set if a change since the last digest affects where other daemons send requests.
     has_urgent_change: bool,
     peers: IndexMap<VmId, Peer>,
     samples: Vec<Sample>,
@@ -89,16 +87,17 @@
     waiting: Option<Priority>,
 }
 
-/// What was told of one target.
+/// Load on one target as last sent.
 #[derive(Clone, Copy, Debug)]
 struct Announced {
     load: TargetLoad,
-    /// How often.
+    /// Number of digests that included it.
     send_count: u8,
 }
 
 impl Peer {
-    /// Requests sent since its last digest; the first count of a target is only a baseline.
+    /// Returns the requests sent since the last digest; the first count of a target is only a
+    /// baseline.
     fn apply_sent(&mut self, sent: &[(LifeDigest, u32)]) -> Vec<(LifeDigest, u32)> {
         let new = sent.iter().filter_map(|(target, count)| {
             let before = self.sent.insert(*target, *count)?;
@@ -128,7 +127,7 @@
 }
 
 impl Sharing {
-    /// Notes what was seen, for the next digest.
+    /// Adds a sample to the next digest.
     pub(super) fn record(&mut self, target: LifeDigest, observation: Observation) {
         if self.samples.len() < SAMPLES_LIMIT {
             self.samples.push(Sample {
@@ -138,7 +137,7 @@
         }
     }
 
-    /// Who else waits for room on a target, as seen by `me`.
+    /// First waiting ask of the other daemons that competes with `me` for a target.
     fn peer_waiter(&self, me: &VmId, target: &TargetId) -> Option<PeerWaiter> {
         let waiting = self.peers.iter();
         let waiting = waiting.filter_map(|(vm, peer)| Some((peer.waiting?, vm)));
@@ -151,7 +150,7 @@
         })
     }
 
-    /// What all peers have on each target.
+    /// Combined load of all peers by target.
     fn totals(&self) -> IndexMap<LifeDigest, (u32, Work)> {
         let mut totals: IndexMap<LifeDigest, (u32, Work)> = IndexMap::new();
         for load in self.peers.values().flat_map(|peer| peer.loads.values()) {
@@ -165,8 +164,7 @@
         totals
     }
 
-    /// Of all that this daemon has, what the others have to be told: all of it now and then, else what
-    /// has changed of late.
+    /// Selects the loads for a digest: all of them if `whole` is set, otherwise recent changes.
     fn loads_to_send(
         &mut self,
         loads: impl Iterator<Item = TargetLoad>,
@@ -182,7 +180,7 @@
             });
             self.announced.insert(load.target, announced);
         }
-        // What it had there has ended.
+        // These targets have no load any more.
         for (target, announced) in before {
             let load = TargetLoad {
                 prefill: 0,
@@ -211,7 +209,7 @@
 }
 
 impl State {
-    /// What the others are to know of what this daemon has on the targets.
+    /// Builds the digest of this daemon's load for its peers.
     pub(super) fn digest(&mut self, now: Instant) -> Digest {
         let targets = self.targets.values();
         let loads = targets.filter(|target| target.estimate.running() > 0);
@@ -242,19 +240,19 @@
         }
     }
 
-    /// Whether something has changed since the last digest that decides where others send: at a target
-    /// with little room, or in who waits for room.
+    /// Returns `true` if a change since the last digest affects where other daemons send requests:
+    /// on a nearly full target, or in the first priority that waits.
     pub(super) fn has_urgent_changes(&self) -> bool {
         self.sharing.has_urgent_change
             || self.sharing.announced_waiting != self.queue.first_competing_priority()
     }
 
-    /// This daemon's requests on a target are about to change, or have changed.
+    /// Records that the load on a target is about to change or has changed.
     pub(super) fn note_load_change(sharing: &mut Sharing, target: &Target, now: Instant) {
         sharing.has_urgent_change |= target.rate_limit.is_some() || is_nearly_full(target, now);
     }
 
-    /// Takes in what another daemon has.
+    /// Applies the digest of another daemon.
     pub(super) fn apply_digest(&mut self, from: &VmId, digest: Digest, now: Instant) {
         for sample in &digest.samples {
             self.apply_sample(sample, now);
@@ -279,7 +277,7 @@
         self.dispatch(now);
     }
 
-    /// Forgets peers of which nothing is heard any more.
+    /// Removes peers that have sent no digest for too long.
     pub(super) fn expire_peers(&mut self, now: Instant) {
         let before = self.sharing.peers.len();
         let is_alive = |peer: &Peer| now.saturating_duration_since(peer.last_digest) < PEER_TIMEOUT;
@@ -324,7 +322,7 @@
     }
 }
 
-/// Whether a target has little room left.
+/// Returns `true` if a target has little capacity left.
 fn is_nearly_full(target: &Target, now: Instant) -> bool {
     let estimate = &target.estimate;
     let prefill_time = estimate.outstanding().prefill as f64 / estimate.prefill_rate(now);
--- a/crates/lilaccrank/src/dispatch/sharing/sample.rs
+++ b/crates/lilaccrank/src/dispatch/sharing/sample.rs
@@ -1,4 +1,4 @@
-//! What was seen of a target, in few bytes.
+//! Samples of target behaviour in a compact encoding.
 
 use std::time::Duration;
 
@@ -7,49 +7,49 @@
 
 use crate::target_life::LifeDigest;
 
-/// One thing that was seen of a target.
+/// One observation of a target.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(into = "Packed", try_from = "Packed")]
 pub struct Sample {
-    /// What was seen.
+    /// The observation.
     pub observation: Observation,
-    /// The target.
+    /// Digest of the target.
     pub target: LifeDigest,
 }
 
-/// What was seen of a target.
+/// Observed behaviour of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// A whole answer.
+    /// A complete answer.
     Answered,
-    /// An answer that it failed, or would not run the request.
+    /// An error response or a rejection.
     Erred,
-    /// No whole answer.
+    /// No complete answer.
     Failed,
     /// A first token.
     FirstToken {
         /// Time since the request was sent.
         after: Duration,
-        /// Prompt tokens before it when it was sent, its own included.
+        /// Prefill tokens outstanding when the request was granted, including its own.
         prefill_ahead: u64,
     },
-    /// Tokens that followed each other.
+    /// Consecutive tokens.
     Step {
-        /// Requests in the batch.
+        /// Number of requests in the batch.
         batch: u32,
         /// Time between two tokens.
         step: Duration,
     },
 }
 
-/// A sample as it travels: the target, which kind it is, a time in microseconds and a number. With the
-/// names of kinds and fields it would take three times the bytes.
+/// Wire format of a sample: target, kind, time in microseconds and a number. Names of kinds and
+/// fields would triple its size.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 struct Packed(LifeDigest, u8, u32, u64);
 
-/// A kind of sample that this version does not know.
+/// Unknown kind of sample, from a newer version.
 #[derive(Debug, Display)]
-#[display("samples have no kind {_0}")]
+#[display("unknown sample kind {_0}")]
 struct UnknownKind(u8);
 
 impl From<Sample> for Packed {
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of its pool.
+//! Soft state of a dispatcher.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -30,29 +30,31 @@
 use crate::stream_progress;
 use crate::target_life::{LifeDigest, TargetLife};
 
-/// Part of the time that an answer still takes at its target within which another one has to finish it: a
-/// migration reads the prompt and the partial answer once more.
+/// Maximum fraction of the time remaining at the current target that a migrated answer may take at
+/// the new one. A migration repeats the prefill of the prompt and of the partial answer, so it must
+/// be clearly faster.
 const MIGRATION_TIME_RATIO: f64 = 0.6;
-/// Part of `max_tokens` that answers are assumed to use before any has ended.
+/// Fraction of `max_tokens` that answers are assumed to use until the first one has ended.
 const INITIAL_LENGTH_RATIO: f64 = 0.5;
 
-/// Names one waiting call, so that a call that ends late doesn't take back its successor's ask.
+/// Identifies one waiting call, so that a call that ends late doesn't cancel the ask of its
+/// successor.
 pub(super) type WaiterId = u64;
 
-/// The call that waits for a verdict.
+/// Call that waits for a verdict.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) id: WaiterId,
     pub(super) tx: oneshot::Sender<Verdict>,
 }
 
-/// An ask without a verdict.
+/// Ask in the queue.
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) ask: Ask,
     pub(super) counter_key: Option<CounterKey>,
     pub(super) deadline: Option<Instant>,
-    /// Its wait for a holder of its prefix.
+    /// Current delay for a holder of the prefix, if any.
     pub(super) delayed: Cell<Option<Delay>>,
     pub(super) waiter: Option<Waiter>,
 }
@@ -82,48 +84,48 @@
     }
 }
 
-/// A granted request.
+/// Granted request that has not ended.
 #[derive(Debug)]
 pub(super) struct ActiveGrant {
     pub(super) ask: AskNumber,
     pub(super) began: bool,
-    /// Prefill outstanding at the target when this was granted, its own included.
+    /// Prefill tokens outstanding at the target after the grant, including its own.
     pub(super) prefill_ahead: u64,
     pub(super) counter_key: Option<CounterKey>,
     pub(super) entry: Entry,
-    /// Time to the whole answer by which it was judged.
+    /// Completion time that was checked against the deadline.
     pub(super) expected: Duration,
     pub(super) granted: Instant,
-    /// What of it counts as outstanding at the target.
+    /// Tokens that still count as outstanding at the target.
     pub(super) left: Work,
     pub(super) long_prefill: bool,
-    /// Tokens of its answer that earlier targets generated.
+    /// Tokens of the answer that earlier targets generated.
     pub(super) partial_tokens: u32,
     pub(super) max_tokens: u32,
-    /// Digests of a prompt that the target still reads.
+    /// Prefix digests of a prompt whose prefill hasn't finished.
     pub(super) inflight: Vec<u64>,
     pub(super) target: TargetLife,
     pub(super) tokens: u64,
-    /// Whether it tries a target that was silent.
+    /// Set if the request is a trial of a hung target.
     pub(super) trial: bool,
 }
 
-/// All soft state of a dispatcher.
+/// State of a dispatcher.
 pub(super) struct State {
     pub(super) affinity: Affinity,
     pub(super) capacity: Capacity,
-    /// Part of a prompt that has to be computed, the rest being in the cache.
+    /// Average fraction of a prompt that misses the cache and has to be computed.
     pub(super) cache_miss_ratio: f64,
     pub(super) cfg: Config,
     pub(super) drain: DrainRate,
     pub(super) handover: Option<Handover>,
-    /// Part of `max_tokens` that answers use.
+    /// Average fraction of `max_tokens` that answers use.
     pub(super) length_ratio: f64,
     pub(super) limits: Limits,
     pub(super) next_waiter: WaiterId,
-    /// Counts the events by which room may have come free.
+    /// Incremented by every event that may have freed capacity.
     pub(super) capacity_epoch: u64,
-    /// Prefixes on their way into caches.
+    /// Prefixes whose prefill is in progress.
     pub(super) inflight: InflightPrefixes,
     pub(super) queue: Queue,
     pub(super) active_grants: IndexMap<RequestId, ActiveGrant>,
@@ -131,10 +133,10 @@
     pub(super) targets: IndexMap<TargetLife, Target>,
     /// Tiers that use the pool.
     pub(super) tiers: Tiers,
-    /// Grants so far.
+    /// Sequence number of the last grant.
     pub(super) grant_sequence: u64,
     pub(super) waiting: IndexMap<RequestId, Waiting>,
-    /// What became of asks that waited.
+    /// Outcomes of recent waits, by tier.
     pub(super) wait_outcomes: WaitOutcomes,
 }
 
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Puts an ask into the queue.
+    /// Adds an ask to the queue.
     pub(super) fn enqueue(&mut self, ask: Ask, counter_key: Option<CounterKey>, now: Instant) {
         let deadline = ask.deadline.and_then(|left| now.checked_add(left));
         let queue_limit = ask.wait_at_most.and_then(|wait| now.checked_add(wait));
@@ -190,7 +192,7 @@
         self.waiting.insert(waiting.ask.request.clone(), waiting);
     }
 
-    /// Ends a waiting ask with a refusal.
+    /// Removes a waiting ask and refuses it.
     pub(super) fn refuse(
         &mut self,
         request: &str,
@@ -209,18 +211,18 @@
             self.limits.release(counter_key);
         }
         if let Some(waiter) = waiting.waiter {
-            // A receiver that is gone has no use for the verdict.
+            // The receiver may have been dropped; the verdict is not needed then.
             let _ = waiter.tx.send(refuse(&waiting.ask, reason, retry));
         }
     }
 
-    /// What the choice needs to know of a waiting ask.
+    /// Requirements of a waiting ask.
     pub(super) fn needs_of<'a>(&'a self, waiting: &'a Waiting, now: Instant) -> Requirements<'a> {
         let left = |until: Instant| until.saturating_duration_since(now);
         self.needs(&waiting.ask, waiting.deadline.map(left))
     }
 
-    /// What the choice needs to know of an ask that has so much time left.
+    /// Requirements of an ask whose deadline is in `left`.
     pub(super) fn needs<'a>(&'a self, ask: &'a Ask, left: Option<Duration>) -> Requirements<'a> {
         let whole = work(ask);
         Requirements {
@@ -245,21 +247,21 @@
     fn reservation(&self, ask: &Ask) -> Reservation {
         let objectives = self.tiers.objectives_before(ask.tier);
         let reservation = Reservation::new(objectives, self.tiers.is_served_least(ask.tier));
-        // A resumed answer gives up a slot elsewhere.
+        // A resumed answer frees a slot elsewhere.
         match ask.partial {
             Some(_) => reservation.without_last(),
             None => reservation,
         }
     }
 
-    /// Notes whether an ask got a target. Resumed answers had one before.
+    /// Records whether an ask was granted. Resumed answers are not counted again.
     pub(super) fn record_outcome(&mut self, ask: &Ask, served: bool) {
         if ask.partial.is_none() {
             self.tiers.record_outcome(ask.tier, served);
         }
     }
 
-    /// Tokens that a target is expected to generate for the ask.
+    /// Expected number of tokens that a target generates for the ask.
     fn expected_decode(&self, ask: &Ask) -> u64 {
         let usual = f64::from(ask.max_tokens) * self.length_ratio;
         match ask.partial {
@@ -272,7 +274,7 @@
         }
     }
 
-    /// Sets the cell's shares of advertised rates.
+    /// Sets the cell's shares of the advertised rate limits.
     pub(super) fn set_rate_limits(&mut self, shares: &IndexMap<LifeDigest, Share>, now: Instant) {
         for target in self.targets.values_mut() {
             target.set_rate_limit(shares.get(&target.digest).copied(), now);
@@ -281,7 +283,7 @@
         self.dispatch(now);
     }
 
-    /// The grant that this request holds.
+    /// Returns the current grant of a request as a verdict.
     pub(super) fn grant_verdict(&self, request: &str, ask: AskNumber) -> Verdict {
         let active_grant = &self.active_grants[request];
         Verdict::Grant(Grant {
@@ -295,13 +297,14 @@
     }
 }
 
-/// Seed of this life of this daemon, so that daemons that refuse the same burst spread its return.
+/// Seed of the retry jitter. It differs per daemon and incarnation, so that daemons that refuse the
+/// same burst spread its retries.
 fn jitter_seed(cfg: &Config) -> u64 {
     xxh3::xxh3_64_with_seed(cfg.vm.as_bytes(), cfg.incarnation)
 }
 
-/// Time in which a target has to finish a partial answer: by its deadline, and clearly sooner than the
-/// target that generates it.
+/// Time within which a target must finish a partial answer: before its deadline, and clearly before
+/// the target that currently generates it.
 fn finish_within(ask: &Ask, left: Option<Duration>) -> Option<Duration> {
     let partial = ask.partial?;
     let sooner = partial
@@ -310,8 +313,8 @@
     left.into_iter().chain(sooner).min()
 }
 
-/// Length of an ask; a plain service's request counts as one token. A partial answer is read like the
-/// prompt.
+/// Length of an ask in tokens; a request to a plain service counts as one token. A partial answer
+/// is prefilled like the prompt.
 pub(super) fn work(ask: &Ask) -> Work {
     let partial = ask.partial.map_or(0, |partial| partial.tokens);
     Work {
--- a/crates/lilaccrank/src/dispatch/status.rs
+++ b/crates/lilaccrank/src/dispatch/status.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher tells operators.
+//! Dispatcher state for operators.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -12,15 +12,15 @@
 /// State of a pool.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Status {
-    /// Tokens of ended work in a second.
+    /// Completed tokens per second.
     pub drain_per_s: f64,
-    /// Whether it waits for the entries and grants nothing.
+    /// Set during a handover, when nothing is granted.
     pub handover: bool,
-    /// Granted requests that have not ended.
+    /// Number of granted requests that have not ended.
     pub running: usize,
-    /// The targets.
+    /// Targets of the pool.
     pub targets: Vec<TargetStatus>,
-    /// Waiting asks by tier, only tiers with any.
+    /// Waiting asks by tier; tiers without any are left out.
     pub waiting: Vec<TierStatus>,
 }
 
@@ -29,37 +29,37 @@
 pub struct TierStatus {
     /// The tier.
     pub tier: Tier,
-    /// Number of asks.
+    /// Number of waiting asks.
     pub waiting: usize,
 }
 
-/// Estimate of one life of a target.
+/// State of one incarnation of a target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct TargetStatus {
-    /// When it started; 0 if it doesn't say.
+    /// Start time of the target; 0 if unknown.
     #[serde(default)]
     pub born: Born,
-    /// Blocks that its prefix cache is believed to hold.
+    /// Estimated number of blocks in its prefix cache.
     pub cached_blocks: usize,
-    /// Tokens that it still has to generate.
+    /// Outstanding decode tokens.
     pub decode_outstanding: u64,
-    /// Signs of life.
+    /// Health of the target.
     pub health: health::State,
-    /// Its name.
+    /// Name of the target.
     pub id: TargetId,
-    /// Whether it may get new work.
+    /// Set if the target may get new work.
     pub live: bool,
-    /// Tokens of prompts that it still has to read.
+    /// Outstanding prefill tokens.
     pub prefill_outstanding: u64,
-    /// Tokens of prompts that it reads in a second.
+    /// Prefill rate in tokens per second.
     pub prefill_per_s: f64,
-    /// Requests of ours that it runs.
+    /// Number of running requests of this daemon.
     pub running: u32,
-    /// Times slower than its own history.
+    /// Factor by which the target is slower than its own history.
     pub slowness: f64,
-    /// Requests that it may run at once now.
+    /// Number of slots usable at its current speed.
     pub slots: u32,
-    /// Expected step time at its present batch.
+    /// Expected step time at the current batch size.
     pub step: Duration,
 }
 
--- a/crates/lilaccrank/src/dispatch/step_model.rs
+++ b/crates/lilaccrank/src/dispatch/step_model.rs
@@ -1,26 +1,26 @@
-//! Step time of a target as a function of its batch, learnt from its own steps.
+//! Step time of a target as a function of its batch size, fitted to observed steps.
 
 use std::time::{Duration, Instant};
 
-/// Weight that older samples keep when a new one comes.
+/// Factor on the weight of older samples when a new one is added.
 const DECAY: f64 = 0.99;
-/// Weight of a new sample in the slowness.
+/// EWMA weight of a new sample in the slowness.
 const SLOWNESS_GAIN: f64 = 0.3;
-/// Samples of a target's own history before it is judged by it.
+/// Number of samples needed before the slowness is computed.
 const MIN_SAMPLES: u32 = 16;
-/// A sample this far off the history is taken into it with a tenth of the weight, so that a
-/// sudden slow-down doesn't become the history before it is noticed.
+/// Ratio to the fitted step time above which a sample counts with a reduced weight, so that a
+/// sudden slowdown is detected before it becomes part of the history.
 const OUTLIER_RATIO: f64 = 2.0;
 /// Weight of an outlier.
 const OUTLIER_WEIGHT: f64 = 0.1;
-/// Time after which half of the slowness is forgotten if no step is seen.
+/// Half-life of the slowness while no step is observed.
 const SLOWNESS_HALF_LIFE: Duration = Duration::from_secs(5);
-/// Shortest step that is believed, in seconds.
+/// Minimum step time in seconds.
 const MIN_STEP_S: f64 = 1e-4;
-/// What is assumed of a target that was never seen: batch and step in seconds.
+/// Initial samples of a new target: batch size and step time in seconds.
 const INITIAL_SAMPLES: [(f64, f64); 2] = [(1.0, 0.008), (8.0, 0.010)];
 
-/// A weighted regression of step time over batch, and how far the last steps are off it.
+/// Weighted regression of step time over batch size, and the current slowdown against it.
 #[derive(Clone, Debug)]
 pub struct StepModel {
     batch: f64,
@@ -34,7 +34,7 @@
 }
 
 impl StepModel {
-    /// A target that was never seen.
+    /// Creates the model of a new target.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         let mut step_model = Self {
@@ -53,7 +53,7 @@
         step_model
     }
 
-    /// The same history, of a target that was not seen slow.
+    /// Returns a model with the same history and without any slowdown.
     #[must_use]
     pub fn without_slowness(&self, now: Instant) -> Self {
         Self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Takes in one observed step.
+    /// Adds an observed step.
     pub fn observe(&mut self, batch: u32, step: Duration, now: Instant) {
         let (batch, step) = (f64::from(batch), step.as_secs_f64().max(MIN_STEP_S));
         let ratio = step / self.baseline(batch);
@@ -84,15 +84,15 @@
         self.add(batch, step, weight);
     }
 
-    /// Expected step time in seconds at a batch.
+    /// Expected step time in seconds at a batch size.
     #[must_use]
     pub fn expected(&self, batch: u32, now: Instant) -> f64 {
         self.baseline(f64::from(batch)) * self.slowness(now)
     }
 
-    /// How many times slower than its own history the target is, at least 1. Half is forgotten
-    /// in a while without steps: a target that gets nothing could else never show that it is
-    /// well again.
+    /// Factor by which the target is slower than its own history, at least 1. It decays while no
+    /// steps are observed: a target that gets no requests couldn't otherwise show that it has
+    /// recovered.
     #[must_use]
     pub fn slowness(&self, now: Instant) -> f64 {
         if self.slowness <= 1.0 {
@@ -112,7 +112,8 @@
         } else {
             0.0
         };
-        // A negative slope is noise, and a steep one would give a step below zero at batch 1.
+        // A negative slope is noise, and a steep one would give a negative step time at batch size
+        // 1.
         let slope = slope.clamp(0.0, mean_step / mean_batch.max(1.0));
         (mean_step + slope * (batch - mean_batch)).max(MIN_STEP_S)
     }
--- a/crates/lilaccrank/src/dispatch/target.rs
+++ b/crates/lilaccrank/src/dispatch/target.rs
@@ -1,4 +1,4 @@
-//! One target of the pool.
+//! State of one target of the pool.
 
 use std::time::{Duration, Instant};
 
@@ -9,63 +9,63 @@
 use crate::ids::DataCentre;
 use crate::target_life::{LifeDigest, TargetLife};
 
-/// Time for which room that another daemon gave back is left to the daemon whose ask goes first.
+/// Time for which a slot freed by another daemon is left to the daemon whose ask goes first.
 ///
-/// All daemons of a cell hear of the room at the same moment. If each that has an ask waiting took it,
-/// most of these asks would wait in the target's own queue, which knows no tiers: under a burst one
-/// grant in three went to a target that was full already. The first daemon's grant is told within 25
-/// milliseconds; should it not want the room after all, a slot stands empty for these few.
+/// All daemons of a cell learn of a free slot at the same time. If each of them used it, most of
+/// these asks would wait in the target's own queue, which ignores tiers: in a burst, a third of the
+/// grants went to targets that were already full. The grant of the first daemon is announced within
+/// 25 ms; if that daemon doesn't use the slot, it stays free for the rest of this time.
 const FREED_SLOT_HOLD: Duration = Duration::from_millis(40);
 
-/// The first of the asks that wait at other daemons.
+/// First waiting ask of the other daemons.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PeerWaiter {
-    /// Whether it goes before asks of this daemon with the same standing, by a draw for each target.
+    /// Set if it goes before asks of this daemon with the same priority, by a draw per target.
     pub wins_ties: bool,
-    /// Where it stands.
+    /// Priority of the ask.
     pub priority: Priority,
 }
 
 impl PeerWaiter {
-    /// Whether it goes before an ask of this daemon.
+    /// Returns `true` if it goes before an ask of this daemon with this priority.
     fn precedes(self, priority: Priority) -> bool {
         self.priority < priority || (self.priority == priority && self.wins_ties)
     }
 }
 
-/// A target and what is known of it.
+/// Target with its estimated load, speed and health.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Load and speed.
+    /// Estimated load and speed.
     pub estimate: Estimate,
-    /// Signs of life.
+    /// Observed health.
     pub health: Health,
-    /// Where it runs.
+    /// Data centre of the target.
     pub data_centre: DataCentre,
-    /// Its name and its life.
+    /// Name and incarnation of the target.
     pub life: TargetLife,
-    /// The number that stands for its life in messages between daemons.
+    /// Digest of its incarnation, used in messages between daemons.
     pub digest: LifeDigest,
-    /// Whether it may get new work.
+    /// Set if the target may get new work.
     pub live: bool,
-    /// Long prompts sent whose first token has not come.
+    /// Number of its requests with a long prompt and no first token yet.
     pub long_prefills: u32,
-    /// When another daemon last gave room back, and who waited elsewhere then.
+    /// When another daemon last freed capacity, and the first ask waiting elsewhere at that time.
     pub(super) freed_by_peer: Option<(Instant, PeerWaiter)>,
-    /// The cell's share of the rate that the target advertises.
+    /// The cell's share of the rate limit that the target advertises.
     pub rate_limit: Option<RateLimit>,
-    /// The first of the asks that wait at other daemons of the cell.
+    /// First waiting ask of the other daemons of the cell.
     pub peer_waiter: Option<PeerWaiter>,
-    /// Running count of this daemon's requests to it.
+    /// Cumulative number of requests that this daemon has sent to it.
     pub sent: u32,
-    /// Requests it runs at once.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Number of the last grant, over all targets.
+    /// Sequence number of its last grant, counted over all targets.
     pub grant_sequence: u64,
 }
 
 impl Target {
-    /// A live target that was never seen.
+    /// Creates a live target without any history.
     #[must_use]
     pub fn new(life: TargetLife, slots: u32, now: Instant) -> Self {
         Self {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A target that is known only from a request that runs there.
+    /// Creates a target that is not in the configuration and known only from a running request.
     #[must_use]
     pub fn unlisted(life: TargetLife, now: Instant) -> Self {
         Self {
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Sets the cell's share of the rate that the target advertises; `None` if it advertises none.
+    /// Sets the cell's share of the rate limit that the target advertises; `None` removes the
+    /// limit.
     pub fn set_rate_limit(&mut self, share: Option<Share>, now: Instant) {
         if self.rate_limit.map(|limit| limit.share()) == share {
             return;
@@ -112,8 +113,8 @@
         }
     }
 
-    /// Whether its rate limit admits a request beside the tokens reserved for earlier tiers and for a rival that
-    /// goes first.
+    /// Returns `true` if the rate limit allows a request in addition to those reserved for earlier
+    /// tiers and for a waiting ask of another daemon that goes first.
     #[must_use]
     pub fn is_within_rate_limit(
         &self,
@@ -129,19 +130,20 @@
         })
     }
 
-    /// Charges requests that another daemon of the cell sent.
+    /// Charges the rate limit with requests that another daemon of the cell has sent.
     pub fn sent_by_peer(&mut self, requests: u32, now: Instant) {
         if let Some(limit) = &mut self.rate_limit {
             limit.take(requests, now);
         }
     }
 
-    /// Another daemon gave room back while `peer_waiter` waited elsewhere.
+    /// Records that another daemon has freed capacity while `peer_waiter` was waiting.
     pub fn freed_by_peer(&mut self, peer_waiter: Option<PeerWaiter>, now: Instant) {
         self.freed_by_peer = peer_waiter.map(|peer_waiter| (now, peer_waiter));
     }
 
-    /// Whether room that another daemon has just given back is left to an ask of a third one.
+    /// Returns `true` if capacity that another daemon has just freed is left to an ask waiting
+    /// elsewhere.
     #[must_use]
     pub fn is_held_for_peer(&self, priority: Priority, now: Instant) -> bool {
         self.freed_by_peer.is_some_and(|(at, peer_waiter)| {
@@ -149,8 +151,8 @@
         })
     }
 
-    /// Slots that are used at its present speed: a slowed target gets less, but at least one
-    /// request, by which it can show that it is well again.
+    /// Number of slots usable at the current speed: a slow target gets fewer requests, but at least
+    /// one to show that it has recovered.
     #[must_use]
     pub fn effective_slots(&self, now: Instant) -> u32 {
         let slowness = self.estimate.slowness(now);
--- a/crates/lilaccrank/src/dispatch/tiers.rs
+++ b/crates/lilaccrank/src/dispatch/tiers.rs
@@ -1,4 +1,4 @@
-//! Which tiers use a pool, how soon their callers expect a first token, and how many are served.
+//! Tiers that use a pool, with their usual objectives and the share of requests served.
 
 use std::time::{Duration, Instant};
 
@@ -6,18 +6,18 @@
 
 use crate::ids::Tier;
 
-/// Time after which a tier without requests no longer counts: urgent work may be rare, and still has to
-/// find room when it comes.
+/// Time without requests after which a tier no longer counts. Urgent requests may be rare, and must
+/// still find free slots.
 const TIER_TTL: Duration = Duration::from_secs(600);
-/// Weight of a new request in a tier's usual objective.
+/// EWMA weight of a new request in the usual objective of a tier.
 const OBJECTIVE_GAIN: f64 = 0.1;
-/// Weight of a new request in the share of a tier that is served.
+/// EWMA weight of a new request in the served share of a tier.
 const SERVED_GAIN: f64 = 0.05;
 
-/// The tiers that use a pool.
+/// Active tiers of a pool.
 ///
-/// A pool keeps room for the tiers before another one. Kept for tiers that never come, it would
-/// stand empty.
+/// Slots are reserved only for earlier tiers in this list; reserved for a tier without requests,
+/// they would stay unused.
 #[derive(Debug, Default)]
 pub(super) struct Tiers {
     tiers: IndexMap<Tier, Usage>,
@@ -27,12 +27,13 @@
 struct Usage {
     objective: Duration,
     last_request: Instant,
-    /// Share of its requests that got a target, from 0 to 1.
+    /// Share of requests that were granted, from 0 to 1.
     served: f64,
 }
 
 impl Tiers {
-    /// Notes a request of a tier; without an objective it counts as one that can't wait.
+    /// Records a request of a tier; a request without an objective counts with an objective of
+    /// zero.
     pub(super) fn record_request(&mut self, tier: Tier, objective: Option<Duration>, now: Instant) {
         let objective = objective.unwrap_or_default();
         let usage = self.tiers.entry(tier).or_insert(Usage {
@@ -49,7 +50,7 @@
         self.tiers.sort_unstable_keys();
     }
 
-    /// Notes whether a request of a tier got a target.
+    /// Records whether a request of a tier was granted.
     pub(super) fn record_outcome(&mut self, tier: Tier, served: bool) {
         if let Some(usage) = self.tiers.get_mut(&tier) {
             let sample = f64::from(u8::from(served));
@@ -57,17 +58,17 @@
         }
     }
 
-    /// Number of the tiers before this one.
+    /// Number of active tiers before this one.
     pub(super) fn count_before(&self, tier: Tier) -> usize {
         self.usages_before(tier).count()
     }
 
-    /// Usual objectives of the tiers before this one, the most urgent first.
+    /// Usual objectives of the active tiers before this one, most urgent first.
     pub(super) fn objectives_before(&self, tier: Tier) -> impl Iterator<Item = Duration> + '_ {
         self.usages_before(tier).map(|usage| usage.objective)
     }
 
-    /// Whether no tier before this one is served less often.
+    /// Returns `true` if no earlier tier has a lower served share.
     pub(super) fn is_served_least(&self, tier: Tier) -> bool {
         let own = self.tiers.get(&tier).map_or(1.0, |usage| usage.served);
         self.usages_before(tier).all(|usage| usage.served >= own)
--- a/crates/lilaccrank/src/dispatch/wait_outcomes.rs
+++ b/crates/lilaccrank/src/dispatch/wait_outcomes.rs
@@ -1,9 +1,9 @@
-//! What became of asks that waited, by tier: whether a new one has a chance.
+//! Outcomes of recent waits by tier, which predict whether a new wait is worthwhile.
 //!
-//! In a burst far over what the targets can do, nearly every ask of a later tier waits for as long
-//! as its first token could still come in time, and is refused then. Its caller has lost that time
-//! and comes back with too little left. Once a tier's waits mostly end so, its asks are told at
-//! once; one goes on waiting, by whose grant it is seen that there is room again.
+//! In heavy overload, nearly every ask of a later tier waits as long as its first token could be in
+//! time and is then refused. Its caller has lost that time and retries with too little left. Once
+//! most waits of a tier time out, its new asks are refused at once. One ask keeps waiting; its
+//! grant shows that capacity is available again.
 
 use std::time::{Duration, Instant};
 
@@ -11,15 +11,15 @@
 
 use crate::ids::Tier;
 
-/// Time after which an outcome counts for 1/e: as long as the waits themselves.
+/// Time constant of the decay of outcomes, equal to the usual length of a wait.
 const DECAY_TIME: Duration = Duration::from_secs(1);
-/// Waits that must have run out of late before any conclusion.
+/// Decayed number of timeouts needed for a prediction.
 const MIN_TIMEOUTS: f64 = 3.0;
-/// Part of the waits that end with a grant below which waiting is no use. A caller that is told at
-/// once has about as good a chance at another daemon.
+/// Minimum share of waits ending in a grant for which waiting is worthwhile. A caller that is
+/// refused at once has about the same chance at another daemon.
 const MIN_GRANT_RATIO: f64 = 0.2;
 
-/// What became of the waits of each tier.
+/// Outcomes of recent waits, by tier.
 #[derive(Debug, Default)]
 pub(super) struct WaitOutcomes {
     tiers: IndexMap<Tier, Outcomes>,
@@ -33,7 +33,7 @@
 }
 
 impl Outcomes {
-    /// The outcomes as they count now.
+    /// Returns the counts decayed to `now`.
     fn decayed(self, now: Instant) -> Self {
         let since = now.saturating_duration_since(self.updated).as_secs_f64();
         let left = (-since / DECAY_TIME.as_secs_f64()).exp();
@@ -46,17 +46,17 @@
 }
 
 impl WaitOutcomes {
-    /// An ask of this tier got a target.
+    /// Records a wait that ended with a grant.
     pub(super) fn record_grant(&mut self, tier: Tier, now: Instant) {
         self.outcomes(tier, now).granted += 1.0;
     }
 
-    /// An ask of this tier waited for nothing.
+    /// Records a wait that timed out.
     pub(super) fn timed_out(&mut self, tier: Tier, now: Instant) {
         self.outcomes(tier, now).timed_out += 1.0;
     }
 
-    /// Whether hardly any wait of this tier ends well.
+    /// Returns `true` if hardly any recent wait of this tier has ended with a grant.
     pub(super) fn mostly_time_out(&self, tier: Tier, now: Instant) -> bool {
         self.tiers.get(&tier).is_some_and(|outcomes| {
             let Outcomes {
--- a/crates/lilaccrank/src/dispatch/work.rs
+++ b/crates/lilaccrank/src/dispatch/work.rs
@@ -1,9 +1,9 @@
-//! Lengths of requests, in tokens.
+//! Length of requests in tokens.
 
 use std::ops::{Add, AddAssign, SubAssign};
 
-/// Tokens that a target has to compute. Sums stop at the highest number: lengths come from callers and
-/// from other daemons, and one that wraps around would make a full target look idle.
+/// Tokens that a target has to compute. Arithmetic saturates: lengths come from callers and other
+/// daemons, and an overflow would make a full target look idle.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Work {
     /// Tokens to generate.
@@ -13,7 +13,7 @@
 }
 
 impl Work {
-    /// All tokens, at least one, so that a plain service's request counts too.
+    /// Total number of tokens, at least one, so that requests to plain services count too.
     #[must_use]
     pub fn tokens(self) -> u64 {
         self.decode.saturating_add(self.prefill).max(1)
