--- a/crates/lilaccrank/src/dispatch/affinity.rs
+++ b/crates/lilaccrank/src/dispatch/affinity.rs
@@ -25,7 +25,7 @@
 /// Assumed cache content of one target, in LRU order.
 #[derive(Debug, Default)]
 struct CacheModel {
-    by_use: BTreeMap<u64, u64>,
+    lru: BTreeMap<u64, u64>,
     /// Events in the largest batch so far, an upper bound for a lost batch.
     largest_batch: usize,
     sequence: Option<u64>,
@@ -54,7 +54,7 @@
 
 impl Affinity {
     /// Records that a target has computed this prefix.
-    pub fn record_sent(&mut self, target: &TargetLife, prefix: &[u64]) {
+    pub fn record_prefill(&mut self, target: &TargetLife, prefix: &[u64]) {
         let index = self.index(target);
         // Blocks are stored last to first, so that the start of the prefix is evicted last: later
         // blocks are useless without it.
@@ -166,21 +166,21 @@
             return;
         };
         let old = cache.last_used.insert(digest, self.use_counter);
-        cache.by_use.insert(self.use_counter, digest);
+        cache.lru.insert(self.use_counter, digest);
         match old {
             Some(old) => {
-                cache.by_use.remove(&old);
+                cache.lru.remove(&old);
             }
             None => self.holders.entry(digest).or_default().push(index),
         }
-        while let Some(oldest) = self.oldest_over(index, limit) {
+        while let Some(oldest) = self.oldest_above_limit(index, limit) {
             self.drop_block(index, oldest);
         }
     }
 
-    fn oldest_over(&self, index: TargetIndex, limit: usize) -> Option<u64> {
+    fn oldest_above_limit(&self, index: TargetIndex, limit: usize) -> Option<u64> {
         let cache = self.caches.get(&index)?;
-        let (_, oldest) = cache.by_use.first_key_value()?;
+        let (_, oldest) = cache.lru.first_key_value()?;
         (cache.last_used.len() > limit).then_some(*oldest)
     }
 
@@ -191,7 +191,7 @@
         let Some(last_use) = cache.last_used.swap_remove(&digest) else {
             return;
         };
-        cache.by_use.remove(&last_use);
+        cache.lru.remove(&last_use);
         if let Some(holders) = self.holders.get_mut(&digest) {
             holders.retain(|other| *other != index);
             if holders.is_empty() {
@@ -204,7 +204,7 @@
     fn drop_oldest(&mut self, index: TargetIndex, count: usize) {
         let cache = self.caches.get(&index);
         let oldest: Vec<u64> = cache.map_or(Vec::new(), |cache| {
-            cache.by_use.values().take(count).copied().collect()
+            cache.lru.values().take(count).copied().collect()
         });
         for digest in oldest {
             self.drop_block(index, digest);
--- a/crates/lilaccrank/src/dispatch/estimate.rs
+++ b/crates/lilaccrank/src/dispatch/estimate.rs
@@ -89,7 +89,7 @@
     pub fn record_grant(&mut self, work: Work, now: Instant) {
         self.outstanding += work;
         self.running += 1;
-        self.note_peak(now);
+        self.update_peak(now);
     }
 
     /// Records the first token of a request, which ends its prefill. `prefill_ahead` is the prefill
@@ -137,10 +137,10 @@
         self.step_model.observe(self.batch(now), step, now);
     }
 
-    /// Records the end of a request; `left` is its work that still counted as outstanding.
-    pub fn record_end(&mut self, left: Work, now: Instant) {
-        self.note_peak(now);
-        self.outstanding -= left;
+    /// Records the end of a request; `remaining_work` is its work that still counted as outstanding.
+    pub fn record_end(&mut self, remaining_work: Work, now: Instant) {
+        self.update_peak(now);
+        self.outstanding -= remaining_work;
         self.running = self.running.saturating_sub(1);
     }
 
@@ -148,7 +148,7 @@
     /// within the report lag counts as external load: a report taken at face value would count own
     /// requests twice, or hide those just sent.
     pub fn record_report(&mut self, report: LoadReport, now: Instant) {
-        self.note_peak(now);
+        self.update_peak(now);
         let excess = report
             .running
             .saturating_add(report.waiting)
@@ -229,7 +229,7 @@
         }
     }
 
-    fn note_peak(&mut self, now: Instant) {
+    fn update_peak(&mut self, now: Instant) {
         let is_expired = now.saturating_duration_since(self.peak_at) > MAX_REPORT_LAG;
         if self.running >= self.peak || is_expired {
             self.peak = self.running;
--- a/crates/lilaccrank/src/dispatch/grants.rs
+++ b/crates/lilaccrank/src/dispatch/grants.rs
@@ -75,7 +75,7 @@
         }
         if let Some(target) = self.targets.get_mut(&active_grant.target) {
             Self::note_load_change(&mut self.sharing, target, now);
-            target.estimate.record_end(active_grant.left, now);
+            target.estimate.record_end(active_grant.remaining_work, now);
             target.long_prefills -= u32::from(active_grant.long_prefill);
             if active_grant.trial {
                 target.health.cancel_trial(now);
@@ -91,7 +91,7 @@
         let Some(target) = self.targets.get_mut(&choice.target) else {
             return;
         };
-        let left = Work {
+        let remaining_work = Work {
             decode: work(ask).decode,
             prefill: choice.prefill,
         };
@@ -101,7 +101,7 @@
         let trial = target
             .health
             .record_grant(target.estimate.running() == 0, now);
-        target.estimate.record_grant(left, now);
+        target.estimate.record_grant(remaining_work, now);
         target.sent = target.sent.wrapping_add(1);
         if let Some(limit) = &mut target.rate_limit {
             limit.take(1, now);
@@ -121,7 +121,7 @@
             expected: Duration::try_from_secs_f64(choice.earliest_completion)
                 .unwrap_or(Duration::MAX),
             granted: now,
-            left,
+            remaining_work,
             long_prefill,
             max_tokens: ask.max_tokens,
             inflight: ask.prefix.clone(),
--- a/crates/lilaccrank/src/dispatch/limits.rs
+++ b/crates/lilaccrank/src/dispatch/limits.rs
@@ -53,7 +53,7 @@
         self.refilled = now;
     }
 
-    fn has_effect(&self, now: Instant) -> bool {
+    fn is_active(&self, now: Instant) -> bool {
         let since = now.saturating_duration_since(self.refilled).as_secs_f64();
         self.in_progress > 0 || self.tokens + since * self.rate < self.burst
     }
@@ -72,8 +72,8 @@
             return Ok(None);
         };
         let counter = self.counter(ask, limit, now);
-        let most = limit.concurrency.unwrap_or(u32::MAX);
-        if counter.in_progress >= most {
+        let max_in_progress = limit.concurrency.unwrap_or(u32::MAX);
+        if counter.in_progress >= max_in_progress {
             let retry_after = CONCURRENCY_RETRY + backoff::full_jitter(CONCURRENCY_RETRY);
             return Err(Error::Reached { retry_after });
         }
@@ -107,7 +107,7 @@
 
     fn counter(&mut self, ask: &Ask, limit: Limit, now: Instant) -> &mut Counter {
         if self.counters.len() >= MAX_COUNTERS {
-            self.counters.retain(|_, counter| counter.has_effect(now));
+            self.counters.retain(|_, counter| counter.is_active(now));
         }
         let capacity = limit.rate_per_s.unwrap_or(0.0).max(1.0);
         let counter = self
--- a/crates/lilaccrank/src/dispatch/queue_deadline.rs
+++ b/crates/lilaccrank/src/dispatch/queue_deadline.rs
@@ -32,12 +32,13 @@
             return None;
         }
         let objective = ask.objective?.as_secs_f64();
-        let in_time = objective * (1.0 - OBJECTIVE_MARGIN) - self.min_time_to_first_token(ask, now);
-        let late = match ask.deadline {
+        let timely_wait =
+            objective * (1.0 - OBJECTIVE_MARGIN) - self.min_time_to_first_token(ask, now);
+        let late_wait = match ask.deadline {
             Some(left) if ask.tier < LATE_TIERS => left.as_secs_f64() * LATE_WAIT_RATIO,
             _ => 0.0,
         };
-        let wait = in_time.max(late).max(0.0);
+        let wait = timely_wait.max(late_wait).max(0.0);
         Some(now + Duration::try_from_secs_f64(wait).unwrap_or(Duration::MAX))
     }
 
--- a/crates/lilaccrank/src/dispatch/reports.rs
+++ b/crates/lilaccrank/src/dispatch/reports.rs
@@ -58,9 +58,11 @@
                 target.health.record_activity(now);
                 Self::note_load_change(&mut self.sharing, target, now);
                 let prefill_ahead = active_grant.prefill_ahead;
-                target
-                    .estimate
-                    .record_first_token(active_grant.left.prefill, prefill_ahead, after);
+                target.estimate.record_first_token(
+                    active_grant.remaining_work.prefill,
+                    prefill_ahead,
+                    after,
+                );
                 self.sharing.record(
                     target.digest,
                     Observation::FirstToken {
@@ -69,20 +71,20 @@
                     },
                 );
                 target.long_prefills -= u32::from(active_grant.long_prefill);
-                active_grant.left.prefill = 0;
+                active_grant.remaining_work.prefill = 0;
                 active_grant.long_prefill = false;
                 let digests = std::mem::take(&mut active_grant.inflight);
-                self.affinity.record_sent(&active_grant.target, &digests);
+                self.affinity.record_prefill(&active_grant.target, &digests);
                 self.inflight.remove(&digests);
             }
             ReportKind::Progress { step, tokens } => {
-                let tokens = u64::from(tokens).min(active_grant.left.decode);
+                let tokens = u64::from(tokens).min(active_grant.remaining_work.decode);
                 target.health.record_activity(now);
                 let batch = target.estimate.batch(now);
                 target.estimate.record_progress(tokens, step, now);
                 self.sharing
                     .record(target.digest, Observation::Step { batch, step });
-                active_grant.left -= Work {
+                active_grant.remaining_work -= Work {
                     decode: tokens,
                     prefill: 0,
                 };
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -97,7 +97,7 @@
     pub(super) expected: Duration,
     pub(super) granted: Instant,
     /// Tokens that still count as outstanding at the target.
-    pub(super) left: Work,
+    pub(super) remaining_work: Work,
     pub(super) long_prefill: bool,
     /// Tokens of the answer that earlier targets generated.
     pub(super) partial_tokens: u32,
@@ -263,13 +263,13 @@
 
     /// Expected number of tokens that a target generates for the ask.
     fn expected_decode(&self, ask: &Ask) -> u64 {
-        let usual = f64::from(ask.max_tokens) * self.length_ratio;
+        let typical = f64::from(ask.max_tokens) * self.length_ratio;
         match ask.partial {
-            None => usual as u64,
+            None => typical as u64,
             Some(partial) => {
                 let likely = u64::from(stream_progress::expected_remaining_tokens(partial.tokens));
-                let usual = (usual as u64).saturating_sub(partial.tokens.into());
-                likely.max(usual).min(work(ask).decode)
+                let typical = (typical as u64).saturating_sub(partial.tokens.into());
+                likely.max(typical).min(work(ask).decode)
             }
         }
     }
@@ -307,10 +307,10 @@
 /// the target that currently generates it.
 fn finish_within(ask: &Ask, left: Option<Duration>) -> Option<Duration> {
     let partial = ask.partial?;
-    let sooner = partial
+    let migration_limit = partial
         .remaining
         .map(|remaining| remaining.mul_f64(MIGRATION_TIME_RATIO));
-    left.into_iter().chain(sooner).min()
+    left.into_iter().chain(migration_limit).min()
 }
 
 /// Length of an ask in tokens; a request to a plain service counts as one token. A partial answer
