--- a/crates/lilaccrank/src/dispatch/estimate.rs
+++ b/crates/lilaccrank/src/dispatch/estimate.rs
@@ -137,7 +137,8 @@
         self.step_model.observe(self.batch(now), step, now);
     }
 
-    /// Records the end of a request; `remaining_work` is its work that still counted as outstanding.
+    /// Records the end of a request; `remaining_work` is its work that still counted as
+    /// outstanding.
     pub fn record_end(&mut self, remaining_work: Work, now: Instant) {
         self.update_peak(now);
         self.outstanding -= remaining_work;
--- a/crates/lilaccrank/src/dispatch/fair.rs
+++ b/crates/lilaccrank/src/dispatch/fair.rs
@@ -1,4 +1,4 @@
-//! Weighted fair queue of the customers of one tier.
+//! Weighted fair queue of the customers of one priority.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +13,7 @@
 /// Number of idle customers kept before a cleanup.
 const IDLE_FLOW_LIMIT: usize = 4096;
 
-/// Position of a customer's first ask in the order of its tier; lower goes first.
+/// Position of a customer's first ask in the order of its priority; lower goes first.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Position {
     virtual_time: u64,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Waiting asks of one tier.
+/// Waiting asks of one priority.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     weighted_backlogs: BTreeSet<(u64, CustomerId)>,
@@ -69,7 +69,7 @@
 }
 
 impl FairQueue {
-    /// Adds an ask. A customer without waiting asks starts at the tier's virtual time: idle time
+    /// Adds an ask. A customer without waiting asks starts at the queue's virtual time: idle time
     /// earns no credit, since a customer could otherwise accumulate credit and then block the
     /// others.
     pub fn push(&mut self, item: &Item, sequence: u64) {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Removes idle customers whose virtual time isn't ahead of the tier's. Customers that are
+    /// Removes idle customers whose virtual time isn't ahead of the queue's. Customers that are
     /// ahead are kept, since they would otherwise return without their debt.
     fn prune_idle(&mut self) {
         if self.idle <= IDLE_FLOW_LIMIT {
--- a/crates/lilaccrank/src/dispatch/limits.rs
+++ b/crates/lilaccrank/src/dispatch/limits.rs
@@ -66,7 +66,8 @@
 }
 
 impl Limits {
-    /// Counts a request against the limit; returns `None` if no limit applies.
+    /// Counts a request against its limit; returns `None` if no limit applies, and an error with
+    /// the time of a retry if the limit is reached.
     pub fn acquire(&mut self, ask: &Ask, now: Instant) -> Result<Option<CounterKey>> {
         let Some(limit) = ask.limit else {
             return Ok(None);
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -34,7 +34,7 @@
 /// the new one. A migration repeats the prefill of the prompt and of the partial answer, so it must
 /// be clearly faster.
 const MIGRATION_TIME_RATIO: f64 = 0.6;
-/// Fraction of `max_tokens` that answers are assumed to use until the first one has ended.
+/// Initial value of the average fraction of `max_tokens` that answers use.
 const INITIAL_LENGTH_RATIO: f64 = 0.5;
 
 /// Identifies one waiting call, so that a call that ends late doesn't cancel the ask of its
@@ -222,7 +222,7 @@
         self.needs(&waiting.ask, waiting.deadline.map(left))
     }
 
-    /// Requirements of an ask whose deadline is in `left`.
+    /// Requirements of an ask with this time left until its deadline.
     pub(super) fn needs<'a>(&'a self, ask: &'a Ask, left: Option<Duration>) -> Requirements<'a> {
         let whole = work(ask);
         Requirements {
