--- a/crates/lilaccrank/src/dispatch/deadline.rs
+++ b/crates/lilaccrank/src/dispatch/deadline.rs
@@ -1,97 +1,102 @@
-//! Whether an ask can meet its deadline.
+//! Deadline feasibility of asks.
 //!
-//! A request that can't is refused before it costs prefill. Each guess is taken from the good
-//! side: a request that is refused wrongly is lost, one that is kept wrongly is found out at its
-//! grant or its deadline.
+//! An ask that can't meet its deadline is refused before it costs any prefill. All estimates are
+//! optimistic: a request that is refused wrongly is lost, while one that is admitted wrongly is
+//! refused at its grant or at its deadline.
 
 use std::time::{Duration, Instant};
 
-use super::choice::{self, Room, Wanted};
+use super::choice::{self, Occupancy, Requirements};
 use super::message::Ask;
 use super::state::{self, State};
 use super::work::Work;
 
-/// Time after which the capacity is worked out anew.
-const CAPACITY_LIFE: Duration = Duration::from_millis(50);
+/// Time after which the capacity is recomputed.
+const CAPACITY_TTL: Duration = Duration::from_millis(50);
 
-/// What all live targets do together, in tokens a second.
+/// Combined throughput of all live targets, in tokens per second.
 #[derive(Debug, Default)]
 pub(super) struct Capacity {
-    at: Option<Instant>,
+    updated: Option<Instant>,
     decode: f64,
     prefill: f64,
 }
 
 impl State {
-    /// Whether no target can meet the ask's deadline after the work ahead in tier order. Lower
-    /// tiers don't count: they would be passed, and refusing for them would be an inversion.
-    pub(super) fn is_hopeless(&mut self, ask: &Ask, now: Instant) -> bool {
+    /// Returns `true` if no target can meet the ask's deadline after the work ahead of it. Work of
+    /// lower tiers is ignored: it would be overtaken, and a refusal because of it would be a
+    /// priority inversion.
+    pub(super) fn is_infeasible(&mut self, ask: &Ask, now: Instant) -> bool {
         let Some(left) = ask.deadline else {
             return false;
         };
         let left = left.as_secs_f64();
         self.refresh_capacity(now);
-        let wanted = self.wanted(ask, ask.deadline);
-        if !self.can_meet(&wanted, left, now) {
+        let needs = self.needs(ask, ask.deadline);
+        if !self.can_meet(&needs, left, now) {
             return true;
         }
-        // A resumed answer goes before what waits in its tier.
+        // A resumed answer goes ahead of the waiting asks of its tier.
         if ask.partial.is_some() {
             return false;
         }
-        // The whole of the own tier is more than goes ahead in fair order, and cheap to know.
-        let standing = state::standing(ask);
-        let most = self.queue.up_to(standing);
-        if self.can_meet(&wanted, left - self.wait(most), now) {
+        // The backlog up to and including the own priority is an upper bound for the work ahead,
+        // and cheap to compute.
+        let priority = state::priority(ask);
+        let upper_bound = self.queue.work_up_to(priority);
+        if self.can_meet(&needs, left - self.min_drain_time(upper_bound), now) {
             return false;
         }
-        let ahead = self.queue.ahead(standing, &ask.customer, ask.weight);
-        if self.can_meet(&wanted, left - self.wait(ahead), now) {
+        let work_ahead = self.queue.work_ahead(priority, &ask.customer, ask.weight);
+        if self.can_meet(&needs, left - self.min_drain_time(work_ahead), now) {
             return false;
         }
-        let room = Room::of(&self.targets, now);
-        !choice::any_open(&self.targets, &wanted, room, now)
+        let occupancy = Occupancy::of(&self.targets, now);
+        !choice::any_eligible(&self.targets, &needs, occupancy, now)
     }
 
-    /// Shortest time that this work takes all targets together, in seconds. They read and
-    /// generate at once, so that the longer of the two is the least.
-    pub(super) fn wait(&self, work: Work) -> f64 {
-        let prefill = work.prefill as f64 * self.computed / self.capacity.prefill.max(1.0);
-        let decode = work.decode as f64 * self.length / self.capacity.decode.max(1.0);
+    /// Lower bound for the time that all targets together need for this work, in seconds. Prefill
+    /// and decode overlap, so the longer of the two counts.
+    pub(super) fn min_drain_time(&self, work: Work) -> f64 {
+        let prefill = work.prefill as f64 * self.cache_miss_ratio / self.capacity.prefill.max(1.0);
+        let decode = work.decode as f64 * self.length_ratio / self.capacity.decode.max(1.0);
         prefill.max(decode)
     }
 
-    fn can_meet(&self, wanted: &Wanted<'_>, left: f64, now: Instant) -> bool {
+    fn can_meet(&self, needs: &Requirements<'_>, left: f64, now: Instant) -> bool {
         let mut live = self.targets.values().filter(|target| target.live);
         live.any(|target| {
-            if choice::earliest(target, wanted, 0, now) <= left {
+            if choice::earliest_completion(target, needs, 0, now) <= left {
                 return true;
             }
-            let blocks = self.affinity.held(&target.life, wanted.prefix) as u64;
-            let saved = (blocks * u64::from(wanted.block_tokens)).min(wanted.work.prefill);
-            choice::earliest(target, wanted, saved, now) <= left
+            let blocks = self.affinity.matched_blocks(&target.life, needs.prefix) as u64;
+            let saved = (blocks * u64::from(needs.block_tokens)).min(needs.work.prefill);
+            choice::earliest_completion(target, needs, saved, now) <= left
         })
     }
 
     pub(super) fn refresh_capacity(&mut self, now: Instant) {
-        let age = self.capacity.at.map(|at| now.saturating_duration_since(at));
-        if age.is_some_and(|age| age < CAPACITY_LIFE) {
+        let age = self
+            .capacity
+            .updated
+            .map(|updated| now.saturating_duration_since(updated));
+        if age.is_some_and(|age| age < CAPACITY_TTL) {
             return;
         }
         let mut capacity = Capacity {
-            at: Some(now),
+            updated: Some(now),
             ..Capacity::default()
         };
         for target in self.targets.values().filter(|target| target.live) {
-            let slots = target.slots_now(now);
+            let slots = target.effective_slots(now);
             capacity.decode += f64::from(slots) / target.estimate.step(slots, now);
             capacity.prefill += target.estimate.prefill_rate(now);
         }
         self.capacity = capacity;
     }
 
-    /// The targets have changed.
-    pub(super) fn forget_capacity(&mut self) {
-        self.capacity.at = None;
+    /// Forces a recomputation after a change of targets.
+    pub(super) fn invalidate_capacity(&mut self) {
+        self.capacity.updated = None;
     }
 }
--- a/crates/lilaccrank/src/dispatch/queue.rs
+++ b/crates/lilaccrank/src/dispatch/queue.rs
@@ -1,8 +1,9 @@
-//! The queue of a pool: tiers in order, and inside a tier customers in fair order.
+//! Queue of a pool: priorities in order, and weighted fair queueing between the customers of each.
 //!
-//! Inside a tier the customer with the least virtual time goes first; a grant moves its virtual
-//! time on by the request's tokens over the customer's weight. Work is counted in tokens because
-//! lengths differ a hundredfold: counted in requests, a customer with long ones takes nearly all.
+//! Within a priority, the customer with the least virtual time goes first; a grant advances its
+//! virtual time by the tokens of the request divided by the customer's weight. Work is counted in
+//! tokens because request lengths differ by a factor of a hundred: counted in requests, a customer
+//! with long requests would get nearly all of the capacity.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -10,69 +11,69 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use super::fair::{FairQueue, Place};
+use super::fair::{FairQueue, Position};
 use super::work::Work;
 use crate::ids::{CustomerId, Rank, RequestId, Tier};
 
-/// Kinds of asks that wait for different room, so that one kind doesn't block another.
+/// Kinds of asks that need different targets, so that one kind doesn't block another.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Lane {
-    /// Another target is to resume the answer.
+    /// Resumes an answer on another target.
     Resumed,
-    /// Some targets are excluded.
+    /// Excludes some targets.
     Excluding,
-    /// The prompt is long.
+    /// Has a long prompt.
     Long,
-    /// All others.
+    /// All other asks.
     Short,
 }
 
 impl Lane {
-    /// Every lane.
+    /// All lanes.
     pub const ALL: [Self; 4] = [Self::Resumed, Self::Excluding, Self::Long, Self::Short];
 }
 
-/// Where an ask stands among all that wait; lesser goes first.
+/// Order of the waiting asks by rank, then tier; lower goes first.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
-pub struct Standing {
-    /// Rank of its customer.
+pub struct Priority {
+    /// Rank of the customer.
     pub rank: Rank,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: Tier,
 }
 
-/// What the queue knows of a waiting ask.
+/// Queue entry of a waiting ask.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
-    /// Whose request it is.
+    /// Customer that the request belongs to.
     pub customer: CustomerId,
-    /// Where it waits.
+    /// Lane that the ask waits in.
     pub lane: Lane,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// Its standing.
-    pub standing: Standing,
-    /// When waiting longer has no use.
+    /// Priority of the ask.
+    pub priority: Priority,
+    /// Time at which the ask expires.
     pub until: Option<Instant>,
-    /// Share of the customer.
+    /// Weight of the customer.
     pub weight: u32,
-    /// Its length.
+    /// Length in tokens.
     pub work: Work,
 }
 
-/// Asks that wait, in order of dispatch.
+/// Waiting asks in order of dispatch.
 #[derive(Debug, Default)]
 pub struct Queue {
     expiries: BTreeSet<(Instant, RequestId)>,
     items: IndexMap<RequestId, Item>,
     next_sequence: u64,
     sequences: IndexMap<RequestId, u64>,
-    standings: BTreeMap<Standing, FairQueue>,
+    priorities: BTreeMap<Priority, FairQueue>,
 }
 
 impl Queue {
-    /// Puts an ask behind the others of its customer. A request waits once: an earlier item of
-    /// the same request is replaced.
+    /// Adds an ask after the others of its customer, and replaces an earlier ask of the same
+    /// request.
     pub fn push(&mut self, item: Item) {
         self.remove(&item.request);
         let sequence = self.next_sequence;
@@ -80,124 +81,128 @@
         if let Some(until) = item.until {
             self.expiries.insert((until, item.request.clone()));
         }
-        self.standings
-            .entry(item.standing)
+        self.priorities
+            .entry(item.priority)
             .or_default()
             .push(&item, sequence);
         self.sequences.insert(item.request.clone(), sequence);
         self.items.insert(item.request.clone(), item);
     }
 
-    /// Takes an ask out because it is granted, and charges its customer.
+    /// Removes a granted ask and charges its customer.
     pub fn grant(&mut self, request: &str) -> Option<Item> {
         self.take(request, FairQueue::charge)
     }
 
-    /// Takes an ask out without a charge.
+    /// Removes an ask without charging its customer.
     pub fn remove(&mut self, request: &str) -> Option<Item> {
         self.take(request, |_, _| ())
     }
 
-    fn take(&mut self, request: &str, then: impl Fn(&mut FairQueue, &Item)) -> Option<Item> {
+    fn take(&mut self, request: &str, on_take: impl Fn(&mut FairQueue, &Item)) -> Option<Item> {
         let item = self.items.swap_remove(request)?;
         let sequence = self.sequences.swap_remove(request)?;
         if let Some(until) = item.until {
             self.expiries.remove(&(until, item.request.clone()));
         }
-        let queue = self.standings.get_mut(&item.standing)?;
-        then(queue, &item);
+        let queue = self.priorities.get_mut(&item.priority)?;
+        on_take(queue, &item);
         queue.remove(&item, sequence);
         Some(item)
     }
 
-    /// Standings with waiting asks, the first to go first.
-    pub fn standings(&self) -> impl Iterator<Item = Standing> + '_ {
-        let busy = self.standings.iter().filter(|(_, queue)| !queue.is_empty());
-        busy.map(|(standing, _)| *standing)
+    /// Priorities with waiting asks, in order.
+    pub fn priorities(&self) -> impl Iterator<Item = Priority> + '_ {
+        let nonempty = self
+            .priorities
+            .iter()
+            .filter(|(_, queue)| !queue.is_empty());
+        nonempty.map(|(priority, _)| *priority)
     }
 
-    /// The first standing with an ask that would take any target with room. A resumed answer takes only
-    /// targets that finish it in time, so that room left to it would mostly stay unused.
+    /// First priority with an ask that would use any free slot. Resumed answers are ignored: they
+    /// use only targets that finish them in time, so a slot held for them would mostly stay unused.
     #[must_use]
-    pub fn first_contender(&self) -> Option<Standing> {
+    pub fn first_competing_priority(&self) -> Option<Priority> {
         let lanes = [Lane::Excluding, Lane::Long, Lane::Short];
-        let contends = |standing: &Standing| {
+        let has_competing_ask = |priority: &Priority| {
             let mut lanes = lanes.into_iter();
-            lanes.any(|lane| self.heads(*standing, lane).next().is_some())
+            lanes.any(|lane| self.heads(*priority, lane).next().is_some())
         };
-        self.standings().find(contends)
+        self.priorities().find(has_competing_ask)
     }
 
-    /// The first ask of each customer in one lane, in fair order.
-    pub fn heads(&self, standing: Standing, lane: Lane) -> impl Iterator<Item = &Place> + '_ {
-        self.standings
-            .get(&standing)
+    /// First ask of each customer in one lane, in fair order.
+    pub fn heads(&self, priority: Priority, lane: Lane) -> impl Iterator<Item = &Position> + '_ {
+        self.priorities
+            .get(&priority)
             .into_iter()
             .flat_map(move |queue| queue.heads(lane))
     }
 
-    /// The ask to shed next: of the last standing that waits, of the customer with the most work
-    /// waiting for its weight, the newest. So a burst of one customer costs only its own places.
+    /// The ask to shed next: the newest one of the customer with the largest backlog per weight, in
+    /// the last priority with waiting asks. A burst of one customer therefore displaces only its
+    /// own asks.
     #[must_use]
     pub fn victim(&self) -> Option<&Item> {
-        let request = self.standings.values().rev().find_map(FairQueue::victim)?;
+        let request = self.priorities.values().rev().find_map(FairQueue::victim)?;
         self.items.get(request)
     }
 
-    /// The next ask for which it is too late at `now`. One that may not wait at all still has its
-    /// chance at the moment it comes.
+    /// Returns an ask that has expired at `now`. An ask without any waiting time expires only after
+    /// the moment of its arrival, so that it can still be granted at once.
     #[must_use]
     pub fn expired(&self, now: Instant) -> Option<&RequestId> {
         let (until, request) = self.expiries.first()?;
         (*until < now).then_some(request)
     }
 
-    /// Work that goes before a new ask of this customer: all of the standings before its own, and
-    /// of its own only each customer's fair part up to the new ask's turn.
+    /// Work ahead of a new ask of this customer: all work of the priorities before its own, and the
+    /// fair share of each customer in its own.
     #[must_use]
-    pub fn ahead(&self, standing: Standing, customer: &str, weight: u32) -> Work {
-        let before = self.standings.range(..standing);
+    pub fn work_ahead(&self, priority: Priority, customer: &str, weight: u32) -> Work {
+        let before = self.priorities.range(..priority);
         let before = before.map(|(_, queue)| queue.total());
-        let own = self.standings.get(&standing);
-        let own = own.map_or(Work::default(), |queue| queue.ahead(customer, weight));
+        let own = self.priorities.get(&priority);
+        let own = own.map_or(Work::default(), |queue| queue.work_ahead(customer, weight));
         before.fold(own, |sum, work| sum + work)
     }
 
-    /// All work of this standing and of those before it.
+    /// Total work of this priority and those before it.
     #[must_use]
-    pub fn up_to(&self, standing: Standing) -> Work {
-        let queues = self.standings.range(..=standing);
+    pub fn work_up_to(&self, priority: Priority) -> Work {
+        let queues = self.priorities.range(..=priority);
         let works = queues.map(|(_, queue)| queue.total());
         works.fold(Work::default(), |sum, work| sum + work)
     }
 
-    /// An ask by its request.
+    /// Looks up an ask by its request.
     #[must_use]
     pub fn get(&self, request: &str) -> Option<&Item> {
         self.items.get(request)
     }
 
-    /// Asks that wait.
+    /// Number of waiting asks.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns `true` if no ask waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Number of asks waiting in a tier.
+    /// Number of waiting asks of a tier.
     #[must_use]
     pub fn waiting(&self, tier: Tier) -> usize {
-        let queues = self.standings.iter();
-        let of_tier = queues.filter(|(standing, _)| standing.tier == tier);
+        let queues = self.priorities.iter();
+        let of_tier = queues.filter(|(priority, _)| priority.tier == tier);
         of_tier.map(|(_, queue)| queue.len()).sum()
     }
 
-    /// All that waits, in no order.
+    /// All waiting asks, in no particular order.
     pub fn requests(&self) -> impl Iterator<Item = &RequestId> + '_ {
         self.items.keys()
     }
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher knows of its pool.
+//! Soft state of a dispatcher.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -9,62 +9,64 @@
 
 use super::Config;
 use super::affinity::Affinity;
-use super::choice::{self, Wanted};
+use super::choice::{self, Requirements};
 use super::deadline::Capacity;
 use super::delay::Delay;
-use super::limits::{Counted, Limits};
+use super::drain_rate::DrainRate;
+use super::inflight::InflightPrefixes;
+use super::limits::{CounterKey, Limits};
 use super::message::{Ask, AskNumber, Entry, Grant, Refuse, Unmeetable, Verdict};
-use super::pending::Pending;
-use super::queue::{Item, Lane, Queue, Standing};
+use super::queue::{Item, Lane, Priority, Queue};
 use super::rate_limit::Share;
 use super::recovery::Handover;
 use super::reservation::Reservation;
 use super::sharing::Sharing;
-use super::shedding::DrainRate;
 use super::target::Target;
 use super::tiers::Tiers;
-use super::waits::Waits;
+use super::wait_outcomes::WaitOutcomes;
 use super::work::Work;
 use crate::error_kind::ErrorKind;
 use crate::ids::RequestId;
 use crate::stream_progress;
 use crate::target_life::{LifeDigest, TargetLife};
 
-/// Part of the time that an answer still takes at its target within which another one has to finish it: a
-/// migration reads the prompt and the partial answer once more.
-const MIGRATION_GAIN: f64 = 0.6;
-/// Part of `max_tokens` that answers are assumed to use before any has ended.
-const ASSUMED_LENGTH: f64 = 0.5;
+/// Maximum fraction of the time remaining at the current target that a migrated answer may take at
+/// the new one. A migration repeats the prefill of the prompt and of the partial answer, so it must
+/// be clearly faster.
+const MIGRATION_TIME_RATIO: f64 = 0.6;
+/// Initial value of the average fraction of `max_tokens` that answers use.
+const INITIAL_LENGTH_RATIO: f64 = 0.5;
 
-/// Names one waiting call, so that a call that ends late doesn't take back its successor's ask.
+/// Identifies one waiting call, so that a call that ends late doesn't cancel the ask of its
+/// successor.
 pub(super) type WaiterId = u64;
 
-/// The call that waits for a verdict.
+/// Call that waits for a verdict.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) id: WaiterId,
     pub(super) tx: oneshot::Sender<Verdict>,
 }
 
-/// An ask without a verdict.
+/// Ask in the queue.
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) ask: Ask,
-    pub(super) counted: Option<Counted>,
+    pub(super) counter_key: Option<CounterKey>,
     pub(super) deadline: Option<Instant>,
-    /// Its wait for a holder of its prefix.
+    /// Current delay for a holder of the prefix, if any.
     pub(super) delayed: Cell<Option<Delay>>,
     pub(super) waiter: Option<Waiter>,
 }
 
 /// Why an ask is refused.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Reason {
+pub(super) struct RefusalReason {
     kind: ErrorKind,
     unmeetable: Option<Unmeetable>,
 }
 
-impl From<ErrorKind> for Reason {
+impl From<ErrorKind> for RefusalReason {
     fn from(kind: ErrorKind) -> Self {
         Self {
             kind,
@@ -73,7 +75,7 @@
     }
 }
 
-impl From<Unmeetable> for Reason {
+impl From<Unmeetable> for RefusalReason {
     fn from(unmeetable: Unmeetable) -> Self {
         Self {
             kind: ErrorKind::DeadlineUnmeetable,
@@ -82,60 +84,60 @@
     }
 }
 
-/// A granted request.
+/// Granted request that has not ended.
 #[derive(Debug)]
-pub(super) struct HeldGrant {
+pub(super) struct ActiveGrant {
     pub(super) ask: AskNumber,
     pub(super) began: bool,
-    /// Prefill outstanding at the target when this was granted, its own included.
-    pub(super) before: u64,
-    pub(super) counted: Option<Counted>,
+    /// Prefill tokens outstanding at the target after the grant, including its own.
+    pub(super) prefill_ahead: u64,
+    pub(super) counter_key: Option<CounterKey>,
     pub(super) entry: Entry,
-    /// Time to the whole answer by which it was judged.
+    /// Completion time that was checked against the deadline.
     pub(super) expected: Duration,
     pub(super) granted: Instant,
-    /// What of it counts as outstanding at the target.
-    pub(super) left: Work,
-    pub(super) long: bool,
-    /// Tokens of its answer that earlier targets generated.
+    /// Tokens that still count as outstanding at the target.
+    pub(super) remaining_work: Work,
+    pub(super) long_prefill: bool,
+    /// Tokens of the answer that earlier targets generated.
     pub(super) partial_tokens: u32,
     pub(super) max_tokens: u32,
-    /// Digests of a prompt that the target still reads.
-    pub(super) pending: Vec<u64>,
+    /// Prefix digests of a prompt whose prefill hasn't finished.
+    pub(super) inflight: Vec<u64>,
     pub(super) target: TargetLife,
     pub(super) tokens: u64,
-    /// Whether it tries a target that was silent.
+    /// Set if the request is a trial of a hung target.
     pub(super) trial: bool,
 }
 
-/// All soft state of a dispatcher.
+/// State of a dispatcher.
 pub(super) struct State {
     pub(super) affinity: Affinity,
     pub(super) capacity: Capacity,
-    /// Part of a prompt that has to be computed, the rest being in the cache.
-    pub(super) computed: f64,
+    /// Average fraction of a prompt that misses the cache and has to be computed.
+    pub(super) cache_miss_ratio: f64,
     pub(super) cfg: Config,
     pub(super) drain: DrainRate,
     pub(super) handover: Option<Handover>,
-    /// Part of `max_tokens` that answers use.
-    pub(super) length: f64,
+    /// Average fraction of `max_tokens` that answers use.
+    pub(super) length_ratio: f64,
     pub(super) limits: Limits,
     pub(super) next_waiter: WaiterId,
-    /// Counts the events by which room may have come free.
-    pub(super) openings: u64,
-    /// Prefixes on their way into caches.
-    pub(super) pending: Pending,
+    /// Incremented by every event that may have freed capacity.
+    pub(super) capacity_epoch: u64,
+    /// Prefixes whose prefill is in progress.
+    pub(super) inflight: InflightPrefixes,
     pub(super) queue: Queue,
-    pub(super) reservations: IndexMap<RequestId, HeldGrant>,
+    pub(super) active_grants: IndexMap<RequestId, ActiveGrant>,
     pub(super) sharing: Sharing,
     pub(super) targets: IndexMap<TargetLife, Target>,
     /// Tiers that use the pool.
     pub(super) tiers: Tiers,
-    /// Grants so far.
-    pub(super) turn: u64,
+    /// Sequence number of the last grant.
+    pub(super) grant_sequence: u64,
     pub(super) waiting: IndexMap<RequestId, Waiting>,
-    /// What became of asks that waited.
-    pub(super) waits: Waits,
+    /// Outcomes of recent waits, by tier.
+    pub(super) wait_outcomes: WaitOutcomes,
 }
 
 impl State {
@@ -143,43 +145,46 @@
         Self {
             affinity: Affinity::default(),
             capacity: Capacity::default(),
-            computed: 1.0,
+            cache_miss_ratio: 1.0,
             drain: DrainRate::new(jitter_seed(&cfg), now),
             cfg,
             handover: None,
-            length: ASSUMED_LENGTH,
+            length_ratio: INITIAL_LENGTH_RATIO,
             limits: Limits::default(),
             next_waiter: 0,
-            openings: 0,
-            pending: Pending::default(),
+            capacity_epoch: 0,
+            inflight: InflightPrefixes::default(),
             queue: Queue::default(),
-            reservations: IndexMap::new(),
+            active_grants: IndexMap::new(),
             sharing: Sharing::default(),
             targets: IndexMap::new(),
             tiers: Tiers::default(),
-            turn: 0,
+            grant_sequence: 0,
             waiting: IndexMap::new(),
-            waits: Waits::default(),
+            wait_outcomes: WaitOutcomes::default(),
         }
     }
 
-    /// Puts an ask into the queue.
-    pub(super) fn enqueue(&mut self, ask: Ask, counted: Option<Counted>, now: Instant) {
+    /// Adds an ask to the queue.
+    pub(super) fn enqueue(&mut self, ask: Ask, counter_key: Option<CounterKey>, now: Instant) {
         let deadline = ask.deadline.and_then(|left| now.checked_add(left));
-        let longest = ask.wait_at_most.and_then(|wait| now.checked_add(wait));
-        let patience = self.patience(&ask, now);
+        let queue_limit = ask.wait_at_most.and_then(|wait| now.checked_add(wait));
+        let queue_deadline = self.queue_deadline(&ask, now);
         self.queue.push(Item {
             customer: ask.customer.clone(),
             lane: lane(&ask),
             request: ask.request.clone(),
-            standing: standing(&ask),
-            until: [deadline, longest, patience].into_iter().flatten().min(),
+            priority: priority(&ask),
+            until: [deadline, queue_limit, queue_deadline]
+                .into_iter()
+                .flatten()
+                .min(),
             weight: ask.weight,
             work: work(&ask),
         });
         let waiting = Waiting {
             ask,
-            counted,
+            counter_key,
             deadline,
             delayed: Cell::default(),
             waiter: None,
@@ -187,11 +192,11 @@
         self.waiting.insert(waiting.ask.request.clone(), waiting);
     }
 
-    /// Ends a waiting ask with a refusal.
+    /// Removes a waiting ask and refuses it.
     pub(super) fn refuse(
         &mut self,
         request: &str,
-        reason: impl Into<Reason>,
+        reason: impl Into<RefusalReason>,
         retry: Option<Duration>,
     ) {
         self.queue.remove(request);
@@ -200,27 +205,27 @@
         };
         let reason = reason.into();
         if reason.unmeetable.is_some() {
-            self.note_end(&waiting.ask, false);
+            self.record_outcome(&waiting.ask, false);
         }
-        if let Some(counted) = &waiting.counted {
-            self.limits.release(counted);
+        if let Some(counter_key) = &waiting.counter_key {
+            self.limits.release(counter_key);
         }
         if let Some(waiter) = waiting.waiter {
-            // A receiver that is gone has no use for the verdict.
+            // The receiver may have been dropped; the verdict is not needed then.
             let _ = waiter.tx.send(refuse(&waiting.ask, reason, retry));
         }
     }
 
-    /// What the choice needs to know of a waiting ask.
-    pub(super) fn wanted_by<'a>(&'a self, waiting: &'a Waiting, now: Instant) -> Wanted<'a> {
+    /// Requirements of a waiting ask.
+    pub(super) fn needs_of<'a>(&'a self, waiting: &'a Waiting, now: Instant) -> Requirements<'a> {
         let left = |until: Instant| until.saturating_duration_since(now);
-        self.wanted(&waiting.ask, waiting.deadline.map(left))
+        self.needs(&waiting.ask, waiting.deadline.map(left))
     }
 
-    /// What the choice needs to know of an ask that has so much time left.
-    pub(super) fn wanted<'a>(&'a self, ask: &'a Ask, left: Option<Duration>) -> Wanted<'a> {
+    /// Requirements of an ask with this time left until its deadline.
+    pub(super) fn needs<'a>(&'a self, ask: &'a Ask, left: Option<Duration>) -> Requirements<'a> {
         let whole = work(ask);
-        Wanted {
+        Requirements {
             block_tokens: self.cfg.block_tokens,
             data_centre: &self.cfg.data_centre,
             finish_within: finish_within(ask, left),
@@ -228,10 +233,10 @@
             lane: lane(ask),
             objective: ask.objective,
             prefix: &ask.prefix,
-            standing: standing(ask),
+            priority: priority(ask),
             tier: ask.tier,
             reservation: self.reservation(ask),
-            tiers_before: self.tiers.before(ask.tier),
+            tiers_before: self.tiers.count_before(ask.tier),
             work: Work {
                 decode: self.expected_decode(ask),
                 prefill: whole.prefill,
@@ -242,73 +247,74 @@
     fn reservation(&self, ask: &Ask) -> Reservation {
         let objectives = self.tiers.objectives_before(ask.tier);
         let reservation = Reservation::new(objectives, self.tiers.is_served_least(ask.tier));
-        // A resumed answer gives up a slot elsewhere.
+        // A resumed answer frees a slot elsewhere.
         match ask.partial {
             Some(_) => reservation.without_last(),
             None => reservation,
         }
     }
 
-    /// Notes whether an ask got a target. Resumed answers had one before.
-    pub(super) fn note_end(&mut self, ask: &Ask, served: bool) {
+    /// Records whether an ask was granted. Resumed answers are not counted again.
+    pub(super) fn record_outcome(&mut self, ask: &Ask, served: bool) {
         if ask.partial.is_none() {
-            self.tiers.note_end(ask.tier, served);
+            self.tiers.record_outcome(ask.tier, served);
         }
     }
 
-    /// Tokens that a target is expected to generate for the ask.
+    /// Expected number of tokens that a target generates for the ask.
     fn expected_decode(&self, ask: &Ask) -> u64 {
-        let usual = f64::from(ask.max_tokens) * self.length;
+        let typical = f64::from(ask.max_tokens) * self.length_ratio;
         match ask.partial {
-            None => usual as u64,
+            None => typical as u64,
             Some(partial) => {
                 let likely = u64::from(stream_progress::expected_remaining_tokens(partial.tokens));
-                let usual = (usual as u64).saturating_sub(partial.tokens.into());
-                likely.max(usual).min(work(ask).decode)
+                let typical = (typical as u64).saturating_sub(partial.tokens.into());
+                likely.max(typical).min(work(ask).decode)
             }
         }
     }
 
-    /// Sets the cell's shares of advertised rates.
+    /// Sets the cell's shares of the advertised rate limits.
     pub(super) fn set_rate_limits(&mut self, shares: &IndexMap<LifeDigest, Share>, now: Instant) {
         for target in self.targets.values_mut() {
             target.set_rate_limit(shares.get(&target.digest).copied(), now);
         }
-        self.note_opening();
+        self.note_capacity_change();
         self.dispatch(now);
     }
 
-    /// The grant that this request holds.
-    pub(super) fn granted(&self, request: &str, ask: AskNumber) -> Verdict {
-        let held = &self.reservations[request];
+    /// Returns the current grant of a request as a verdict.
+    pub(super) fn grant_verdict(&self, request: &str, ask: AskNumber) -> Verdict {
+        let active_grant = &self.active_grants[request];
         Verdict::Grant(Grant {
             ask,
             dispatcher: self.cfg.vm.clone(),
             dispatcher_incarnation: self.cfg.incarnation,
-            expected: Some(held.expected),
+            expected: Some(active_grant.expected),
             request: request.to_owned(),
-            target: held.target.clone(),
+            target: active_grant.target.clone(),
         })
     }
 }
 
-/// Seed of this life of this daemon, so that daemons that refuse the same burst spread its return.
+/// Seed of the retry jitter. It differs per daemon and incarnation, so that daemons that refuse the
+/// same burst spread its retries.
 fn jitter_seed(cfg: &Config) -> u64 {
     xxh3::xxh3_64_with_seed(cfg.vm.as_bytes(), cfg.incarnation)
 }
 
-/// Time in which a target has to finish a partial answer: by its deadline, and clearly sooner than the
-/// target that generates it.
+/// Time within which a target must finish a partial answer: before its deadline, and clearly before
+/// the target that currently generates it.
 fn finish_within(ask: &Ask, left: Option<Duration>) -> Option<Duration> {
     let partial = ask.partial?;
-    let sooner = partial
+    let migration_limit = partial
         .remaining
-        .map(|remaining| remaining.mul_f64(MIGRATION_GAIN));
-    left.into_iter().chain(sooner).min()
+        .map(|remaining| remaining.mul_f64(MIGRATION_TIME_RATIO));
+    left.into_iter().chain(migration_limit).min()
 }
 
-/// Length of an ask; a plain service's request counts as one token. A partial answer is read like the
-/// prompt.
+/// Length of an ask in tokens; a request to a plain service counts as one token. A partial answer
+/// is prefilled like the prompt.
 pub(super) fn work(ask: &Ask) -> Work {
     let partial = ask.partial.map_or(0, |partial| partial.tokens);
     Work {
@@ -317,8 +323,8 @@
     }
 }
 
-pub(super) fn standing(ask: &Ask) -> Standing {
-    Standing {
+pub(super) fn priority(ask: &Ask) -> Priority {
+    Priority {
         rank: ask.rank,
         tier: ask.tier,
     }
@@ -329,7 +335,7 @@
         Lane::Resumed
     } else if !ask.exclusions.is_empty() {
         Lane::Excluding
-    } else if u64::from(ask.prompt_tokens) > choice::LONG_PROMPT {
+    } else if u64::from(ask.prompt_tokens) > choice::LONG_PROMPT_TOKENS {
         Lane::Long
     } else {
         Lane::Short
@@ -338,7 +344,7 @@
 
 pub(super) fn refusal_of(
     ask: &Ask,
-    reason: impl Into<Reason>,
+    reason: impl Into<RefusalReason>,
     retry_after: Option<Duration>,
 ) -> Refuse {
     let reason = reason.into();
@@ -353,7 +359,7 @@
 
 pub(super) fn refuse(
     ask: &Ask,
-    reason: impl Into<Reason>,
+    reason: impl Into<RefusalReason>,
     retry_after: Option<Duration>,
 ) -> Verdict {
     Verdict::Refuse(refusal_of(ask, reason, retry_after))
--- a/crates/lilaccrank/src/dispatch/target.rs
+++ b/crates/lilaccrank/src/dispatch/target.rs
@@ -1,71 +1,71 @@
-//! One target of the pool.
+//! State of one target of the pool.
 
 use std::time::{Duration, Instant};
 
 use super::estimate::Estimate;
 use super::health::Health;
-use super::queue::Standing;
+use super::queue::Priority;
 use super::rate_limit::{RateLimit, Share};
 use crate::ids::DataCentre;
 use crate::target_life::{LifeDigest, TargetLife};
 
-/// Time for which room that another daemon gave back is left to the daemon whose ask goes first.
+/// Time for which a slot freed by another daemon is left to the daemon whose ask goes first.
 ///
-/// All daemons of a cell hear of the room at the same moment. If each that has an ask waiting took it,
-/// most of these asks would wait in the target's own queue, which knows no tiers: under a burst one
-/// grant in three went to a target that was full already. The first daemon's grant is told within 25
-/// milliseconds; should it not want the room after all, a slot stands empty for these few.
-const LEFT_TO_FIRST: Duration = Duration::from_millis(40);
+/// All daemons of a cell learn of a free slot at the same time. If each of them used it, most of
+/// these asks would wait in the target's own queue, which ignores tiers: in a burst, a third of the
+/// grants went to targets that were already full. The grant of the first daemon is announced within
+/// 25 ms; if that daemon doesn't use the slot, it stays free for the rest of this time.
+const FREED_SLOT_HOLD: Duration = Duration::from_millis(40);
 
-/// The first of the asks that wait at other daemons.
+/// First waiting ask of the other daemons.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Rival {
-    /// Whether it goes before asks of this daemon with the same standing, by a draw for each target.
-    pub goes_before_equals: bool,
-    /// Where it stands.
-    pub standing: Standing,
+pub struct PeerWaiter {
+    /// Set if it goes before asks of this daemon with the same priority, by a draw per target.
+    pub wins_ties: bool,
+    /// Priority of the ask.
+    pub priority: Priority,
 }
 
-impl Rival {
-    /// Whether it goes before an ask of this daemon.
-    fn goes_before(self, standing: Standing) -> bool {
-        self.standing < standing || (self.standing == standing && self.goes_before_equals)
+impl PeerWaiter {
+    /// Returns `true` if it goes before an ask of this daemon with this priority.
+    fn precedes(self, priority: Priority) -> bool {
+        self.priority < priority || (self.priority == priority && self.wins_ties)
     }
 }
 
-/// A target and what is known of it.
+/// Target with its estimated load, speed and health.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Load and speed.
+    /// Estimated load and speed.
     pub estimate: Estimate,
-    /// Signs of life.
+    /// Observed health.
     pub health: Health,
-    /// Where it runs.
+    /// Data centre of the target.
     pub data_centre: DataCentre,
-    /// Its name and its life.
+    /// Name and incarnation of the target.
     pub life: TargetLife,
-    /// The number that stands for its life in messages between daemons.
+    /// Digest of its incarnation, used in messages between daemons.
     pub digest: LifeDigest,
-    /// Whether it may get new work.
+    /// Set if the target may get new work.
     pub live: bool,
-    /// Long prompts sent whose first token has not come.
-    pub long: u32,
-    /// When another daemon last gave room back, and who waited elsewhere then.
-    pub(super) opened: Option<(Instant, Rival)>,
-    /// The cell's share of the rate that the target advertises.
+    /// Number of its requests with a long prompt and no first token yet.
+    pub long_prefills: u32,
+    /// When another daemon last freed capacity, and the first ask waiting elsewhere at that time.
+    pub(super) freed_by_peer: Option<(Instant, PeerWaiter)>,
+    /// The cell's share of the rate limit that the target advertises.
     pub rate_limit: Option<RateLimit>,
-    /// The first of the asks that wait at other daemons of the cell.
-    pub rival: Option<Rival>,
-    /// Running count of this daemon's requests to it.
+    /// First waiting ask of the other daemons of the cell.
+    pub peer_waiter: Option<PeerWaiter>,
+    /// Cumulative number of requests that this daemon has sent to it.
     pub sent: u32,
-    /// Requests it runs at once.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Number of the last grant, over all targets.
-    pub turn: u64,
+    /// Sequence number of its last grant, counted over all targets.
+    pub grant_sequence: u64,
 }
 
 impl Target {
-    /// A live target that was never seen.
+    /// Creates a live target without any history.
     #[must_use]
     pub fn new(life: TargetLife, slots: u32, now: Instant) -> Self {
         Self {
@@ -75,26 +75,27 @@
             data_centre: DataCentre::default(),
             life,
             live: true,
-            long: 0,
-            opened: None,
+            long_prefills: 0,
+            freed_by_peer: None,
             rate_limit: None,
-            rival: None,
+            peer_waiter: None,
             sent: 0,
             slots,
-            turn: 0,
+            grant_sequence: 0,
         }
     }
 
-    /// A target that is known only from a request that runs there.
+    /// Creates a target that is not in the configuration and known only from a running request.
     #[must_use]
-    pub fn leaving(life: TargetLife, now: Instant) -> Self {
+    pub fn unlisted(life: TargetLife, now: Instant) -> Self {
         Self {
             live: false,
             ..Self::new(life, 0, now)
         }
     }
 
-    /// Sets the cell's share of the rate that the target advertises; `None` if it advertises none.
+    /// Sets the cell's share of the rate limit that the target advertises; `None` removes the
+    /// limit.
     pub fn set_rate_limit(&mut self, share: Option<Share>, now: Instant) {
         if self.rate_limit.map(|limit| limit.share()) == share {
             return;
@@ -112,45 +113,48 @@
         }
     }
 
-    /// Whether its rate limit admits a request beside the tokens reserved for earlier tiers and for a rival that
-    /// goes first.
+    /// Returns `true` if the rate limit allows a request in addition to those reserved for earlier
+    /// tiers and for a waiting ask of another daemon that goes first.
     #[must_use]
     pub fn is_within_rate_limit(
         &self,
-        standing: Standing,
-        left_to_tiers: u32,
+        priority: Priority,
+        reserved_for_tiers: u32,
         now: Instant,
     ) -> bool {
         self.rate_limit.is_none_or(|limit| {
-            let rival = self.rival.is_some_and(|rival| rival.goes_before(standing));
-            limit.allows(left_to_tiers + u32::from(rival), now)
+            let peer_waiter = self
+                .peer_waiter
+                .is_some_and(|peer_waiter| peer_waiter.precedes(priority));
+            limit.allows(reserved_for_tiers + u32::from(peer_waiter), now)
         })
     }
 
-    /// Charges requests that another daemon of the cell sent.
+    /// Charges the rate limit with requests that another daemon of the cell has sent.
     pub fn sent_by_peer(&mut self, requests: u32, now: Instant) {
         if let Some(limit) = &mut self.rate_limit {
             limit.take(requests, now);
         }
     }
 
-    /// Another daemon gave room back while `rival` waited elsewhere.
-    pub fn opened(&mut self, rival: Option<Rival>, now: Instant) {
-        self.opened = rival.map(|rival| (now, rival));
+    /// Records that another daemon has freed capacity while `peer_waiter` was waiting.
+    pub fn freed_by_peer(&mut self, peer_waiter: Option<PeerWaiter>, now: Instant) {
+        self.freed_by_peer = peer_waiter.map(|peer_waiter| (now, peer_waiter));
     }
 
-    /// Whether room that another daemon has just given back is left to an ask of a third one.
+    /// Returns `true` if capacity that another daemon has just freed is left to an ask waiting
+    /// elsewhere.
     #[must_use]
-    pub fn is_left_to_rival(&self, standing: Standing, now: Instant) -> bool {
-        self.opened.is_some_and(|(at, rival)| {
-            rival.goes_before(standing) && now.saturating_duration_since(at) < LEFT_TO_FIRST
+    pub fn is_held_for_peer(&self, priority: Priority, now: Instant) -> bool {
+        self.freed_by_peer.is_some_and(|(at, peer_waiter)| {
+            peer_waiter.precedes(priority) && now.saturating_duration_since(at) < FREED_SLOT_HOLD
         })
     }
 
-    /// Slots that are used at its present speed: a slowed target gets less, but at least one
-    /// request, by which it can show that it is well again.
+    /// Number of slots usable at the current speed: a slow target gets fewer requests, but at least
+    /// one to show that it has recovered.
     #[must_use]
-    pub fn slots_now(&self, now: Instant) -> u32 {
+    pub fn effective_slots(&self, now: Instant) -> u32 {
         let slowness = self.estimate.slowness(now);
         if slowness <= 1.0 {
             return self.slots;
--- a/crates/lilaccrank/tests/suite/dispatch_inputs.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_inputs.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilaccrank::dispatch::message::{Ask, LoadReport, ReportKind};
-use lilaccrank::dispatch::sharing::{Digest, Sample, Seen, TargetLoad};
+use lilaccrank::dispatch::sharing::{Digest, Observation, Sample, TargetLoad};
 use lilaccrank::target_life::TargetLife;
 use quickcheck::{Arbitrary, Gen};
 
@@ -33,16 +33,16 @@
             target: TargetLife::from("t0").digest(),
         };
         let sample = |g: &mut Gen| Sample {
-            seen: match u8::arbitrary(g) % 3 {
-                0 => Seen::FirstToken {
+            observation: match u8::arbitrary(g) % 3 {
+                0 => Observation::FirstToken {
                     after: boundary_duration(g),
-                    before: boundary_value(g),
+                    prefill_ahead: boundary_value(g),
                 },
-                1 => Seen::Step {
+                1 => Observation::Step {
                     batch: boundary_value(g) as u32,
                     step: boundary_duration(g),
                 },
-                _ => Seen::Failed,
+                _ => Observation::Failed,
             },
             target: TargetLife::from("t0").digest(),
         };
@@ -80,7 +80,7 @@
     fn holds(digests: Vec<ArbitraryDigest>, arbitrary_ask: ArbitraryAsk) -> bool {
         let mut harness = harness(&[4, 4]);
         for ArbitraryDigest(digest) in digests {
-            harness.dispatcher.take_digest(&"vm2".to_owned(), digest);
+            harness.dispatcher.apply_digest(&"vm2".to_owned(), digest);
         }
         harness.ask(arbitrary_ask.0);
         harness.advance(Duration::from_secs(3));
--- a/crates/lilaccrank/tests/suite/dispatch_spread.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_spread.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 use lilaccrank::cells;
-use lilaccrank::dispatch::queue::Standing;
+use lilaccrank::dispatch::queue::Priority;
 use lilaccrank::dispatch::sharing::{Digest, TargetLoad};
 use lilaccrank::document::Target;
 
@@ -127,7 +127,7 @@
     deliver_digest(&harness, "holder", digest("t0", 1, 100));
     harness.ask(ask_with_objective("report", 1));
     let peer_digest = Digest {
-        waiting: Some(Standing::default()),
+        waiting: Some(Priority::default()),
         ..Digest::default()
     };
     deliver_digest(&harness, "vm2", peer_digest);
