--- a/crates/lilaccrank/src/advisories.rs
+++ b/crates/lilaccrank/src/advisories.rs
@@ -1,9 +1,9 @@
-//! Advisories: facts that one daemon observes and that bind all daemons.
+//! Advisories: facts that one daemon observes and that all daemons act on.
 //!
-//! Each daemon keeps a set of facts, bounded in number and age. New ones are pushed to its cell with the next
-//! load updates; anti-entropy ([`sync`]) carries them to the rest of the fleet, to daemons that start and
-//! over healed partitions. Merging is idempotent and commutative, so that facts may be duplicated, delayed
-//! and reordered.
+//! Each daemon keeps a set of facts, bounded in number and age. New ones are pushed to its cell
+//! with the next load updates. Anti-entropy ([`sync`]) carries them to the rest of the fleet, to
+//! daemons that start and across partitions that heal. Merging is idempotent and commutative, so
+//! facts may be duplicated, delayed and reordered.
 
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
@@ -18,73 +18,73 @@
 pub mod record;
 pub mod sync;
 
-/// Targets that have to crash under the same content before it is quarantined. Other requests are on a
-/// target that crashes, too, and are seldom on three of them.
+/// Number of targets that must crash while serving a content before it is quarantined. Unrelated
+/// requests are also in flight on a target that crashes, but rarely on three of them.
 pub const QUARANTINE_CRASHES: usize = 3;
-/// Time to live of a crash.
+/// Time to live of crashes, completions and quarantines.
 pub const LIFETIME: Duration = Duration::from_secs(600);
 /// Time to live of a rate limit after the latest answer that advertised it.
 pub const RATE_LIMIT_LIFETIME: Duration = Duration::from_secs(60);
-/// Age from which a rate limit that is still advertised is propagated again.
+/// Age of a known rate limit from which the same limit, advertised again, is propagated again.
 const RATE_LIMIT_REFRESH_AGE: Duration = Duration::from_secs(15);
-/// Facts kept.
+/// Maximum number of facts kept.
 pub const CAPACITY: usize = 1_024;
-/// Load updates that carry a new fact. More than one may be lost on a bad link.
+/// Number of load updates that carry a new fact. On a bad link more than one may be lost.
 const TRANSMIT_LIMIT: u8 = 3;
 
 /// Position of a fact in the order in which a daemon received its facts.
 pub type Revision = u64;
 
-/// An observation.
+/// A fact that a daemon observed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Fact {
-    /// A target ended while it had a request with this content.
+    /// A target ended while a request with this content was in flight on it.
     #[serde(rename = "c")]
     Crash {
-        /// The content.
+        /// Digest of the request's content.
         content: ContentDigest,
-        /// The target.
+        /// Digest of the target's ID and start time.
         target: LifeDigest,
     },
     /// A target answered a request with this content completely.
     #[serde(rename = "d")]
     Completed {
-        /// The content.
+        /// Digest of the request's content.
         content: ContentDigest,
     },
     /// The platform's store holds a quarantine of this content.
     #[serde(rename = "q")]
     Quarantined {
-        /// The content.
+        /// Digest of the request's content.
         content: ContentDigest,
     },
     /// The rate limit that a target advertised with its latest answer.
     #[serde(rename = "r")]
     RateLimit {
-        /// Requests in 1,000 seconds; `None` if there is no limit any more.
+        /// Requests per 1,000 seconds; `None` if the target no longer has a limit.
         per_1000_s: Option<u32>,
-        /// The target.
+        /// Digest of the target's ID and start time.
         target: LifeDigest,
     },
 }
 
-/// A fact on the wire.
+/// A fact with its age, as sent to other daemons.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Advisory {
-    /// Milliseconds since it was observed.
+    /// Milliseconds since the fact was observed.
     pub age_ms: u32,
-    /// The observation.
+    /// The fact.
     pub fact: Fact,
 }
 
-/// The facts of one daemon.
+/// The set of facts that one daemon knows.
 #[derive(Debug, Default)]
 pub struct Advisories {
     facts: IndexMap<Key, Record>,
     revision: Revision,
 }
 
-/// What a fact is about; a later one about the same takes its place.
+/// Identifies the subject of a fact. A newer fact with the same key replaces the older one.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Key {
     Completed(ContentDigest),
@@ -98,7 +98,7 @@
     fact: Fact,
     revision: Revision,
     observed_at: Instant,
-    /// Load updates that have carried it.
+    /// Number of load updates that have carried the fact.
     transmissions: u8,
 }
 
@@ -142,7 +142,7 @@
         now.saturating_duration_since(self.observed_at) < self.fact.lifetime()
     }
 
-    /// Whether another fact with the same key, observed at `seen`, replaces this one.
+    /// Returns `true` if `fact`, which has the same key, replaces this record.
     fn is_superseded(&self, fact: Fact, observed_at: Instant) -> bool {
         let later = observed_at.saturating_duration_since(self.observed_at);
         match fact {
@@ -154,35 +154,38 @@
 }
 
 impl Advisories {
-    /// Whether there are no facts.
+    /// Returns `true` if no facts are known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty()
     }
 
-    /// Number of facts.
+    /// Number of known facts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.facts.len()
     }
 
-    /// Adds an observation of this daemon. Returns whether it is new.
+    /// Adds a fact that this daemon observed. Returns `true` if it is new.
     pub fn note(&mut self, fact: Fact, now: Instant) -> bool {
         self.insert(fact, now, 0, now)
     }
 
-    /// Merges facts of another daemon. Returns those that are new.
+    /// Merges facts from another daemon and returns those that are new. They go into the next
+    /// load updates.
     pub fn merge(&mut self, advisories: &[Advisory], now: Instant) -> Vec<Fact> {
         self.merge_with(advisories, 0, now)
     }
 
-    /// Merges facts of a load update, which all daemons of the cell receive from its sender.
+    /// Merges facts from a load update and returns those that are new. They are not forwarded in
+    /// load updates, since the sender has sent them to all daemons of the cell.
     pub fn merge_update(&mut self, advisories: &[Advisory], now: Instant) -> Vec<Fact> {
         self.merge_with(advisories, TRANSMIT_LIMIT, now)
     }
 
-    /// How long requests with this content are still quarantined: enough targets crashed under it, and
-    /// none has completed it since.
+    /// Time for which requests with this content remain quarantined; `None` if they are not. A
+    /// content is quarantined if a stored quarantine is known, or if [`QUARANTINE_CRASHES`] targets
+    /// crashed while serving it. A later completion lifts the quarantine.
     #[must_use]
     pub fn quarantine_remaining(&self, content: ContentDigest, now: Instant) -> Option<Duration> {
         let stored_at = self.facts.get(&Key::Quarantined(content));
@@ -195,7 +198,7 @@
         remaining.filter(|remaining| !remaining.is_zero())
     }
 
-    /// Contents that are quarantined, and for how long they have been.
+    /// Quarantined contents, with the time since each quarantine began.
     #[must_use]
     pub fn quarantined(&self, now: Instant) -> Vec<(ContentDigest, Duration)> {
         let contents = self
@@ -210,7 +213,8 @@
         contents.into_iter().filter_map(remaining).collect()
     }
 
-    /// Adds a quarantine of this age from the platform's store. Returns whether it is new.
+    /// Adds a quarantine of the given age that was read from the platform's store. Returns `true`
+    /// if it is new.
     pub fn note_stored_quarantine(
         &mut self,
         content: ContentDigest,
@@ -221,20 +225,20 @@
         self.insert(Fact::Quarantined { content }, observed_at, 0, now)
     }
 
-    /// Whether a target crashed lately.
+    /// Returns `true` if any crash is known.
     #[must_use]
     pub fn has_crashes(&self) -> bool {
         let mut facts = self.facts.keys();
         facts.any(|key| matches!(key, Key::Crash(..)))
     }
 
-    /// Whether a target crashed under this content lately.
+    /// Returns `true` if a target crashed within [`LIFETIME`] while serving this content.
     #[must_use]
     pub fn is_suspect(&self, content: ContentDigest, now: Instant) -> bool {
         self.crashes(content, now).next().is_some()
     }
 
-    /// Advertised rate limits that hold, in requests per second.
+    /// Rate limits that targets currently advertise, in requests per second.
     pub fn rate_limits(&self, now: Instant) -> impl Iterator<Item = (LifeDigest, f64)> {
         let current = self.facts.values();
         let current = current.filter(move |record| record.is_current(now));
@@ -246,7 +250,7 @@
         })
     }
 
-    /// New facts for the next load update, `limit` at most.
+    /// Facts for the next load update, at most `limit`.
     pub fn take_updates(&mut self, limit: usize, now: Instant) -> Vec<Advisory> {
         let new = self.facts.values_mut();
         let new =
@@ -258,7 +262,8 @@
         taken.collect()
     }
 
-    /// Facts received after `revision`, `limit` at most, and the revision up to which they are complete.
+    /// Facts received after `revision`, at most `limit`, and the revision up to which they are
+    /// complete.
     fn facts_after(
         &self,
         revision: Revision,
@@ -327,7 +332,7 @@
         true
     }
 
-    /// Whether a fact changes the set.
+    /// Returns `true` if inserting the fact would change the set.
     fn is_new(&self, fact: Fact, observed_at: Instant, now: Instant) -> bool {
         if let Some(known) = self.facts.get(&fact.key()) {
             return known.is_superseded(fact, observed_at);
@@ -348,7 +353,7 @@
         completed.is_none_or(|record| record.observed_at < observed_at)
     }
 
-    /// When targets crashed under this content.
+    /// Times at which targets crashed while serving this content.
     fn crashes(&self, content: ContentDigest, now: Instant) -> impl Iterator<Item = Instant> {
         let crashes = self.facts.values().filter(move |record| {
             matches!(record.fact, Fact::Crash { content: fact_content, .. } if fact_content == content)
@@ -357,7 +362,7 @@
         crashes.map(|record| record.observed_at)
     }
 
-    /// Drops the oldest fact that no quarantine rests on.
+    /// Drops the oldest fact that no quarantine depends on, or else the oldest of all.
     fn evict(&mut self) {
         let mut crashes: IndexMap<ContentDigest, usize> = IndexMap::new();
         for record in self.facts.values() {
--- a/crates/lilaccrank/src/advisories/recent.rs
+++ b/crates/lilaccrank/src/advisories/recent.rs
@@ -1,7 +1,8 @@
-//! Contents of recently completed requests.
+//! Remembers the contents of recently completed requests.
 //!
-//! Callers may send the same request often, such as a status query. Targets that crash at once for another
-//! reason may each have one in flight; a recent completion distinguishes it from a query of death.
+//! Callers may send the same request often, such as a status query. When several targets crash at
+//! once for another reason, each may have such a request in flight. A recent completion shows that
+//! the request is not a query of death.
 
 use std::time::{Duration, Instant};
 
@@ -9,12 +10,12 @@
 
 use crate::ids::ContentDigest;
 
-/// A content is remembered for this long at least, and twice as long at most.
+/// Minimum time for which a content is remembered; the maximum is twice as long.
 const RETENTION: Duration = Duration::from_secs(30);
-/// Contents remembered, in each of two sets; the older set is dropped as a whole.
+/// Number of contents in the current set at which the sets rotate and the older one is dropped.
 const CAPACITY: usize = 2_048;
 
-/// Contents that were completed lately.
+/// Contents that were recently completed, kept in two generations.
 #[derive(Debug)]
 pub struct RecentContents {
     current: IndexSet<ContentDigest>,
@@ -23,7 +24,7 @@
 }
 
 impl RecentContents {
-    /// Nothing yet.
+    /// Creates an empty set.
     #[must_use]
     pub fn new(now: Instant) -> Self {
         Self {
@@ -33,13 +34,13 @@
         }
     }
 
-    /// Remembers a content.
+    /// Adds a content that was completed.
     pub fn insert(&mut self, content: ContentDigest, now: Instant) {
         self.rotate(now);
         self.current.insert(content);
     }
 
-    /// Whether a content was completed lately.
+    /// Returns `true` if the content was completed recently.
     pub fn contains(&mut self, content: ContentDigest, now: Instant) -> bool {
         self.rotate(now);
         self.current.contains(&content) || self.previous.contains(&content)
--- a/crates/lilaccrank/src/advisories/record.rs
+++ b/crates/lilaccrank/src/advisories/record.rs
@@ -1,7 +1,7 @@
 //! The persistent record of quarantines in the platform's store.
 //!
-//! Daemons have no disk, and both sides of a partition may reach the store. The record is one object of bounded
-//! size; each write drops expired entries.
+//! Daemons have no disk, and both sides of a network partition may still reach the store. The
+//! record is one object of bounded size. Each write drops expired entries.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,10 +10,10 @@
 use super::LIFETIME;
 use crate::ids::ContentDigest;
 
-/// Quarantines kept.
+/// Maximum number of quarantines kept.
 const CAPACITY: usize = 64;
 
-/// Quarantines in the store.
+/// The quarantines in the store.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct QuarantineRecord {
     quarantines: Vec<Entry>,
@@ -22,14 +22,15 @@
 /// One quarantine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Entry {
-    /// Start in milliseconds since 1970.
+    /// Start of the quarantine, in milliseconds since the Unix epoch.
     at_ms: u64,
-    /// The content, in hexadecimal.
+    /// Digest of the quarantined content, in hexadecimal.
     content: String,
 }
 
 impl QuarantineRecord {
-    /// Quarantines that have not expired, with their ages.
+    /// Quarantines that have not expired, with their ages. Entries whose digest is malformed are
+    /// skipped.
     pub fn current(&self, now: SystemTime) -> impl Iterator<Item = (ContentDigest, Duration)> {
         let entries = self.quarantines.iter();
         let entries = entries.filter_map(move |entry| {
@@ -40,7 +41,7 @@
         entries.filter(|(_, age)| *age < LIFETIME).take(CAPACITY)
     }
 
-    /// Adds quarantines of these ages; drops expired entries and the oldest over the capacity.
+    /// Adds quarantines with their ages. Drops expired entries, and the oldest beyond the capacity.
     pub fn add(&mut self, new: &[(ContentDigest, Duration)], now: SystemTime) {
         let mut all: Vec<_> = self.current(now).collect();
         for (content, age) in new {
--- a/crates/lilaccrank/src/advisories/sync.rs
+++ b/crates/lilaccrank/src/advisories/sync.rs
@@ -1,7 +1,8 @@
-//! Anti-entropy between two daemons, as push and pull in one exchange.
+//! Anti-entropy between two daemons: push and pull in one exchange.
 //!
-//! The asker keeps a cursor for each peer: the peer's revision that it has pulled, and its own that it has
-//! pushed. Revisions start again with each incarnation, which resets the cursor.
+//! The requester keeps a cursor for each peer: the peer's revision up to which it has pulled facts,
+//! and its own revision up to which it has pushed them. Revisions start over with each incarnation
+//! of a daemon, which resets the cursor.
 
 use std::time::Instant;
 
@@ -11,32 +12,32 @@
 use super::{Advisories, Advisory, Fact, Revision};
 use crate::ids::{Incarnation, VmId};
 
-/// Most facts in one message; the rest follows with the next one.
+/// Maximum number of facts in one message; the next message carries the rest.
 pub const PAGE: usize = 128;
 
-/// A request for facts, with those that the asker has not pushed yet.
+/// A request for facts, with those that the requester has not pushed yet.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Pull {
-    /// Facts up to this revision were pulled before.
+    /// Revision up to which the requester has already pulled facts.
     pub after: Revision,
-    /// Incarnation of the peer to which this revision belongs.
+    /// Incarnation of the peer to which `after` belongs.
     pub incarnation: Incarnation,
-    /// Facts of the asker.
+    /// Facts that the requester pushes.
     pub pushed: Vec<Advisory>,
 }
 
-/// The reply.
+/// The reply to a [`Pull`].
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Page {
-    /// Facts that the asker lacks.
+    /// Facts that the requester has not pulled yet.
     pub advisories: Vec<Advisory>,
     /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Revision up to which these are complete.
+    /// Revision up to which `advisories` are complete.
     pub revision: Revision,
 }
 
-/// Cursors of all peers.
+/// The cursors for all peers.
 #[derive(Debug, Default)]
 pub struct Cursors(IndexMap<VmId, Cursor>);
 
@@ -50,7 +51,7 @@
 }
 
 impl Cursors {
-    /// The next request to `peer`.
+    /// Creates the next request to `peer`.
     pub fn pull(&mut self, peer: &VmId, known: &Advisories, now: Instant) -> Pull {
         let cursor = self.0.entry(peer.clone()).or_default();
         let (pushed, pushing) = known.facts_after(cursor.pushed, PAGE, now);
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Merges the reply of `peer`. Returns the facts that are new.
+    /// Merges a reply from `peer` into `known` and returns the facts that are new.
     pub fn merge_page(
         &mut self,
         peer: &VmId,
@@ -71,7 +72,7 @@
         now: Instant,
     ) -> Vec<Fact> {
         let cursor = self.0.entry(peer.clone()).or_default();
-        // What was pushed to an earlier incarnation is lost with it.
+        // An earlier incarnation of the peer lost what was pushed to it.
         let is_push_kept = cursor.incarnation == page.incarnation || cursor.pushed == 0;
         let pushed = if is_push_kept { cursor.pushing } else { 0 };
         let has_pushed_all = pushed == known.revision;
@@ -80,7 +81,7 @@
         *cursor = Cursor {
             incarnation: page.incarnation,
             pulled: page.revision,
-            // Facts that came from the peer are not echoed.
+            // Facts that came from the peer are not pushed back to it.
             pushed: if has_pushed_all {
                 known.revision
             } else {
@@ -91,13 +92,14 @@
         new
     }
 
-    /// Drops the cursors of daemons that are no longer members.
+    /// Drops the cursors for daemons that are no longer members.
     pub fn retain(&mut self, is_member: impl Fn(&VmId) -> bool) {
         self.0.retain(|vm, _| is_member(vm));
     }
 }
 
-/// Replies as the daemon with this incarnation. Returns the facts that are new here, too.
+/// Answers a request as the daemon with this incarnation and merges the pushed facts into `known`.
+/// Returns the reply and the facts that are new here.
 pub fn answer(
     pull: &Pull,
     known: &mut Advisories,
@@ -115,7 +117,7 @@
     let page = Page {
         advisories,
         incarnation,
-        // Facts that the asker pushed are not echoed.
+        // Facts that the requester pushed are not sent back to it.
         revision: if is_complete {
             known.revision
         } else {
--- a/crates/lilaccrank/src/lease.rs
+++ b/crates/lilaccrank/src/lease.rs
@@ -1,10 +1,12 @@
 //! Leases with fencing numbers, kept in the platform's store by conditional updates.
 //!
-//! No wall clock is trusted, and no two clocks are compared. A holder counts its time from
-//! before it sent the write, less a margin for clocks that run at slightly different rates; a
-//! taker waits the whole duration from when it first saw that very version. So a holder's view
-//! ends first, whatever the delays. [`Lease`] is a typestate: a [`Candidate`] becomes [`Held`],
-//! and a held lease that can't be renewed becomes [`Lost`].
+//! Expiry doesn't depend on wall clocks, and clocks of different machines are never compared. A
+//! holder measures the duration from before it sent the write, less a margin for clocks that run
+//! at slightly different rates. A candidate waits for the whole duration from when it first saw
+//! the current version. So a lease always expires for its holder first, whatever the delays.
+//!
+//! [`Lease`] is a typestate: a [`Candidate`] becomes [`Held`], and a held lease that can't be
+//! renewed becomes [`Lost`].
 //!
 //! A lease object is released but never deleted, since its fencing number must only grow.
 
@@ -27,28 +29,29 @@
 
 use context::Context;
 
-/// Number that grows with each change of holder; a target refuses orders with an old one.
+/// Fencing number. It grows with each change of holder, and a target that checks it refuses orders
+/// with an older one.
 pub type Fence = u64;
 /// Result of a lease operation.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why a lease can't be used.
+/// Reasons why a lease can't be used.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// The lease is not held, or was lost.
+    /// The lease with this key was never acquired, has expired or was lost.
     #[error("lease {0} is not held")]
     NotHeld(String),
 }
 
-/// Times of a lease.
+/// Timing of a lease.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// Longest wait for one answer of the store.
+    /// Timeout of one call to the store.
     pub call_timeout: Duration,
-    /// How long a holder keeps the lease without renewing it.
+    /// Time for which a lease is valid without a renewal.
     pub duration: Duration,
-    /// How much earlier than `duration` the holder stops to believe in it. Covers clocks that
-    /// differ in rate by up to `margin / duration`.
+    /// Time by which the lease expires earlier for its holder than after `duration`. Covers clocks
+    /// whose rates differ by up to `margin / duration`.
     pub margin: Duration,
 }
 
@@ -62,34 +65,38 @@
     }
 }
 
-/// Leave to act under a lease.
+/// Permission to act under a lease.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Guard {
-    /// When no earlier holder can believe in its lease any more.
+    /// Time at which the lease has expired for every earlier holder.
     pub predecessor_expired_at: Instant,
-    /// The number to send with each act.
+    /// Fencing number to send with each order.
     pub fence: Fence,
-    /// Up to when an act may start.
+    /// Time until which an order may be sent.
     pub expires_at: Instant,
 }
 
-/// Whatever gives leave to act.
+/// Source of permission to act under a lease.
 pub trait GuardSource {
-    /// Leave to act now. Ask anew right before each act: after a pause of this process the
-    /// lease may be over, and this is where the holder learns it.
+    /// Returns permission to act now. Must be called again right before each order is sent: the
+    /// lease may have expired while this process was paused, and only this call detects it.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::NotHeld`] if the lease is not held or has expired.
     fn guard(&self) -> Result<Guard>;
 }
 
-/// A lease in one phase of its life.
+/// A lease in the phase `P`: [`Candidate`], [`Held`] or [`Lost`].
 pub struct Lease<P, S, C> {
     context: Context<S, C>,
     phase: P,
 }
 
-/// What the store holds.
+/// The lease object in the store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Record {
-    /// Tells the writes of one holder apart, so that a lost answer is resolved by reading back.
+    /// Distinguishes the writes of one holder, so that reading back resolves a lost reply.
     attempt: u64,
     duration_ms: u64,
     fence: Fence,
@@ -104,9 +111,9 @@
 }
 
 impl<S: Store, C: Clock> Lease<Candidate, S, C> {
-    /// A candidate for the lease at `key`. `holder` must differ for each life of each process
-    /// (say, vm and incarnation), and have one candidate per key: who finds its own name takes
-    /// the lease back without waiting.
+    /// Creates a candidate for the lease at `key`. `holder` must be unique to each run of each
+    /// process (for example VM and incarnation) and may have only one candidate per key, since a
+    /// candidate that finds its own name in the store takes the lease without waiting.
     pub fn new(
         cfg: Settings,
         key: impl Into<String>,
--- a/crates/lilaccrank/src/lease/candidate.rs
+++ b/crates/lilaccrank/src/lease/candidate.rs
@@ -1,4 +1,4 @@
-//! Taking a lease: when it is free, or when its holder can no longer believe in it.
+//! Acquires a lease that is free, or that has expired for its holder.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -9,38 +9,41 @@
 use crate::clock::Clock;
 use crate::store::{self, Expect, Store, Version};
 
-/// Looks at a held lease this often per duration, or when it may end.
+/// Number of times per lease duration that a candidate polls a lease held by another process. It
+/// also polls when that lease may have expired.
 const POLLS_PER_DURATION: u32 = 4;
 
-/// A lease that this process would like to hold.
+/// Phase of a lease that this process tries to acquire.
 #[derive(Default)]
 pub struct Candidate {
     first_seen: Option<FirstSeen>,
     sent: Option<Sent>,
 }
 
+/// The version of the lease object that was read last, and when it was first read.
 struct FirstSeen {
     at: Instant,
     version: Version,
 }
 
-/// What one attempt to take a lease came to.
+/// Outcome of one attempt to acquire a lease.
 pub enum Attempt<S, C> {
-    /// It is held now.
+    /// The lease is now held.
     Held(Lease<Held, S, C>),
-    /// Try again after the wait.
+    /// The lease could not be acquired; try again after the wait.
     Wait(Lease<Candidate, S, C>, Duration),
 }
 
-/// How the record found may be replaced.
+/// The write that acquires the lease.
 struct Acquisition {
+    /// Duration of the lease that is replaced; zero if there is none.
     predecessor_duration: Duration,
     expect: Expect,
     fence: Fence,
 }
 
 impl<S: Store, C: Clock> Lease<Candidate, S, C> {
-    /// Waits until the lease is held, however long that takes.
+    /// Attempts to acquire the lease until it is held.
     pub async fn acquire(mut self) -> Lease<Held, S, C> {
         loop {
             match self.attempt().await {
@@ -53,7 +56,7 @@
         }
     }
 
-    /// Looks at the lease once and takes it if that is possible.
+    /// Reads the lease once and acquires it if that is possible.
     pub async fn attempt(mut self) -> Attempt<S, C> {
         let found = match self.context.read().await {
             Ok(found) => found,
@@ -65,7 +68,7 @@
             && found.record.attempt == sent.attempt
             && self.context.expires_at(sent.at) > self.context.clock.now()
         {
-            // The answer was lost after the write took effect.
+            // The write took effect, but the reply to it was lost.
             let (fence, version) = (found.record.fence, found.version);
             return Attempt::Held(self.held(fence, version, sent, found.record.duration()));
         }
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Whether the lease may be taken, or how long to wait until the next look.
+    /// Returns the write that acquires the lease, or else the time until the next poll.
     fn acquisition(&mut self, found: Option<Found>) -> Result<Acquisition, Duration> {
         let next = self.next_fence();
         let Some(Found { record, version }) = found else {
@@ -98,11 +101,13 @@
         Err((duration - unchanged_for).min(duration / POLLS_PER_DURATION))
     }
 
-    /// Above each number seen, and lifted to the seconds of the wall clock. A process that starts
-    /// after the store was wiped, or came back older, has seen no number that counts; it would
-    /// start at one again, and targets that check would refuse its orders for good. Numbers grow
-    /// more slowly than seconds, so the clock is ahead of them. If it is wrong, nothing is lost:
-    /// the number is still above each one seen.
+    /// Returns a fencing number above every number seen, and at least the Unix time in seconds.
+    ///
+    /// A process that starts after the store was wiped or restored from an older state has not
+    /// seen the numbers in use. If it started at 1 again, targets that check the number would
+    /// refuse its orders permanently. Numbers grow more slowly than one per second, so the wall
+    /// clock is ahead of them. A wrong clock does no harm, since the number still exceeds every
+    /// number seen.
     fn next_fence(&self) -> Fence {
         let wall = self.context.clock.wall();
         let since = wall.duration_since(SystemTime::UNIX_EPOCH);
@@ -110,8 +115,8 @@
         seconds.max(self.context.highest_fence + 1)
     }
 
-    /// How long this version has been there for sure. The record's own times say nothing: its
-    /// writer's clock may be far off, and the write may have been under way for long.
+    /// Time for which this version is known to have been in the store. It is measured locally from
+    /// the first read: the writer's clock may differ, and its write may have been delayed.
     fn unchanged_for(&mut self, version: Version) -> Duration {
         let now = self.context.clock.now();
         match &self.phase.first_seen {
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Drawn from the whole interval, so that candidates don't return to the store together.
+    /// Waits with full jitter, so that candidates don't call the store at the same time.
     fn wait_after(self, err: &store::Error) -> Attempt<S, C> {
         let ceiling = self.context.cfg.duration / POLLS_PER_DURATION;
         let min_wait = match err {
--- a/crates/lilaccrank/src/lease/context.rs
+++ b/crates/lilaccrank/src/lease/context.rs
@@ -1,4 +1,4 @@
-//! What a lease keeps through all phases, and its calls to the store.
+//! State that a lease keeps through all phases, and its calls to the store.
 
 use std::time::Instant;
 
@@ -11,7 +11,8 @@
 pub(super) struct Context<S, C> {
     pub(super) cfg: Settings,
     pub(super) clock: C,
-    /// Highest number seen; a store that came back older must not make it shrink.
+    /// Highest fencing number seen. It never decreases, even if the store is restored from an older
+    /// state.
     pub(super) highest_fence: Fence,
     pub(super) holder: String,
     pub(super) key: String,
@@ -19,14 +20,14 @@
     store: S,
 }
 
-/// A write that was sent and may have taken effect.
+/// A write that was sent and may or may not have taken effect.
 #[derive(Clone, Copy)]
 pub(super) struct Sent {
     pub(super) at: Instant,
     pub(super) attempt: u64,
 }
 
-/// A record as read.
+/// A record as read from the store.
 pub(super) struct Found {
     pub(super) record: Record,
     pub(super) version: Version,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// End of a tenure whose write was sent at `sent_at`.
+    /// Time at which the lease expires for its holder if its write was sent at `sent_at`.
     pub(super) fn expires_at(&self, sent_at: Instant) -> Instant {
         sent_at + self.cfg.duration.saturating_sub(self.cfg.margin)
     }
@@ -65,14 +66,17 @@
                 }))
             }
             Err(err) => {
-                // To overwrite it could lower the number; an operator has to look.
-                log::error!("lease {}: not a lease record: {err}", self.key);
+                // Overwriting it could lower the fencing number, so an operator has to repair it.
+                log::error!(
+                    "lease {}: the stored object is not a lease record: {err}",
+                    self.key
+                );
                 Err(store::Error::Unavailable)
             }
         }
     }
 
-    /// Writes a record with this number; tells when it was sent besides the outcome.
+    /// Writes a record with this fencing number. Returns when it was sent, and the outcome.
     pub(super) async fn write(
         &mut self,
         fence: Fence,
@@ -88,7 +92,7 @@
             holder: self.holder.clone(),
             released,
         };
-        let value = serde_json::to_vec(&record).expect("a flat record always serialises");
+        let value = serde_json::to_vec(&record).expect("a lease record is always serializable");
         let sent = Sent {
             at: self.clock.now(),
             attempt: self.last_attempt,
--- a/crates/lilaccrank/src/lease/held.rs
+++ b/crates/lilaccrank/src/lease/held.rs
@@ -1,4 +1,4 @@
-//! Holding a lease: renewing, acting under it, giving it up, losing it.
+//! Renews, uses and releases a held lease, and detects its loss.
 
 use std::time::Instant;
 
@@ -10,40 +10,40 @@
 use crate::clock::Clock;
 use crate::store::{self, Expect, Store, Version};
 
-/// A lease that this process holds, as long as its own clock says so.
+/// Phase of a lease that this process holds until it expires by the local clock.
 pub struct Held {
     predecessor_expired_at: Instant,
     fence: Fence,
-    /// A write that may have changed the version.
+    /// A write without a reply, which may have changed the version.
     unresolved: Option<Sent>,
     expires_at: Instant,
     version: Version,
 }
 
-/// A lease that this process held.
+/// Phase of a lease that this process no longer holds.
 pub struct Lost {
     reason: Reason,
 }
 
-/// Why a lease was lost.
+/// Reasons why a lease was lost.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Reason {
-    /// It was not renewed in time: this process was paused, or the store was away.
+    /// It was not renewed in time: this process was paused, or the store was unavailable.
     #[display("not renewed in time")]
     Expired,
-    /// It was given up.
+    /// This process released it.
     #[display("released")]
     Released,
-    /// Another took it, or an own write that was given up arrived late.
+    /// Another process acquired it, or a write of this process took effect after its timeout.
     #[display("changed in the store")]
     Taken,
 }
 
-/// What a renewal came to.
+/// Outcome of a renewal.
 pub enum Renewal<S, C> {
-    /// Still held, though perhaps not for longer than before: renew again soon.
+    /// The lease is still held. If the write failed, its expiry is unchanged, so renew again soon.
     Held(Lease<Held, S, C>),
-    /// No longer held.
+    /// The lease is no longer held.
     Lost(Lease<Lost, S, C>),
 }
 
@@ -65,13 +65,13 @@
 }
 
 impl<S: Store, C: Clock> Lease<Held, S, C> {
-    /// When this process stops to believe in the lease unless it renews.
+    /// Time at which the lease expires for this process unless it is renewed.
     pub fn expires_at(&self) -> Instant {
         self.phase.expires_at
     }
 
-    /// Renews once. The write fails if another took the lease meanwhile, so that a holder that
-    /// was paused can't prolong what it has lost.
+    /// Tries to renew the lease once. The write is conditional, so a holder that was paused can't
+    /// extend a lease that another process has acquired meanwhile.
     pub async fn renew(mut self) -> Renewal<S, C> {
         if let Some(sent) = self.phase.unresolved {
             match self.read_back(sent).await {
@@ -94,18 +94,18 @@
         self.still_held()
     }
 
-    /// Gives the lease up, so that another need not wait. Acts begun under it must have ended.
-    /// A failure is no harm: the lease then ends by time.
+    /// Releases the lease, so that another process can acquire it without waiting. Orders sent
+    /// under it must have completed. If the write fails, the lease expires after its duration.
     pub async fn release(mut self) -> Lease<Lost, S, C> {
         let expect = Expect::Version(self.phase.version);
         let (_, outcome) = self.context.write(self.phase.fence, true, expect).await;
         if let Err(err) = outcome {
-            log::info!("lease {}: release: {err}", self.context.key);
+            log::info!("lease {}: release failed: {err}", self.context.key);
         }
         self.into_lost(Reason::Released)
     }
 
-    /// Reads the record and takes its version over; false if it is no longer this tenure's.
+    /// Reads the record and adopts its version. Returns `false` if the lease has changed hands.
     async fn read_back(&mut self, sent: Sent) -> store::Result<bool> {
         let found = self.context.read().await?;
         let Some(found) = found.filter(|found| {
@@ -154,12 +154,12 @@
 }
 
 impl<S: Store, C: Clock> Lease<Lost, S, C> {
-    /// Why it was lost.
+    /// The reason why the lease was lost.
     pub fn reason(&self) -> Reason {
         self.phase.reason
     }
 
-    /// Becomes a candidate again.
+    /// Turns the lost lease into a candidate again.
     pub fn retry(self) -> Lease<Candidate, S, C> {
         Lease {
             context: self.context,
--- a/crates/lilaccrank/src/lease/keeper.rs
+++ b/crates/lilaccrank/src/lease/keeper.rs
@@ -1,4 +1,4 @@
-//! Keeping a lease: a task that takes it, renews it and takes it again when it was lost.
+//! A task that acquires a lease, renews it, and acquires it again after a loss.
 
 use std::cell::Cell;
 use std::future::{self, Future};
@@ -15,16 +15,16 @@
 use crate::clock::{self, Clock};
 use crate::store::Store;
 
-/// Renewals per duration, so that two may fail before the lease is lost.
+/// Number of renewals per lease duration: two may fail before the lease is lost.
 const RENEWALS_PER_DURATION: u32 = 4;
 
-/// The task that keeps one lease.
+/// The task that keeps one lease held.
 pub struct Keeper<S, C> {
     candidate: Lease<Candidate, S, C>,
     handle: LeaseHandle<C>,
 }
 
-/// What a [`Keeper`] holds at the moment; clones share it.
+/// Handle to the lease of a [`Keeper`], under which other tasks act. Clones share its state.
 #[derive(Clone)]
 pub struct LeaseHandle<C> {
     clock: C,
@@ -33,7 +33,7 @@
 }
 
 impl<S: Store, C: Clock> Keeper<S, C> {
-    /// Will keep the lease of `candidate` once it runs.
+    /// Creates a keeper for the lease of `candidate`. It does nothing until it is run.
     pub fn new(candidate: Lease<Candidate, S, C>) -> Self {
         let handle = LeaseHandle {
             clock: candidate.context.clock.clone(),
@@ -43,26 +43,26 @@
         Self { candidate, handle }
     }
 
-    /// The handle under which others act.
+    /// Returns a handle under which other tasks act.
     #[must_use]
     pub fn handle(&self) -> LeaseHandle<C> {
         self.handle.clone()
     }
 
-    /// Takes and renews the lease until dropped; it then ends by time.
+    /// Acquires and renews the lease until the future is dropped; the lease then expires.
     pub async fn run(self) {
         drop(self.run_until(future::pending()).await);
     }
 
-    /// Takes and renews the lease until `stop` completes, and then gives it up, so that another
-    /// need not wait for its end. What this keeper has learnt of fencing numbers stays with it:
-    /// run it again rather than make a second candidate.
+    /// Acquires and renews the lease until `stop` completes, and then releases it, so that another
+    /// process need not wait for its expiry. The returned keeper knows the highest fencing number
+    /// seen: run it again instead of creating another candidate.
     #[must_use = "the keeper can be run again"]
     pub async fn run_until(mut self, stop: impl Future<Output = ()>) -> Self {
         let mut stop = pin!(stop.fuse());
         loop {
-            // An attempt is not cut short: a write under way may take effect all the same, and
-            // only its outcome tells whether there is a lease to give up.
+            // An attempt is not cancelled: its write may still take effect, and only the outcome
+            // shows whether there is a lease to release.
             match self.candidate.attempt().await {
                 Attempt::Held(held) => match hold(&self.handle, held, stop.as_mut()).await {
                     Ended::Lost(lost) => self.candidate = lost.retry(),
@@ -82,12 +82,13 @@
     }
 }
 
-/// How a tenure ended.
+/// Why the keeper stopped holding the lease.
 enum Ended<S, C> {
     Lost(Lease<Lost, S, C>),
     Stopped(Lease<Lost, S, C>),
 }
 
+/// Renews the lease until it is lost or `stop` completes.
 async fn hold<S: Store, C: Clock>(
     handle: &LeaseHandle<C>,
     mut held: Lease<Held, S, C>,
@@ -95,7 +96,7 @@
 ) -> Ended<S, C> {
     let wait = held.context.cfg.duration / RENEWALS_PER_DURATION;
     loop {
-        // A stop may have come during the attempt; then nobody must begin to act.
+        // `stop` may have completed during the attempt; no task may act under the lease then.
         if stopped_within(&handle.clock, Duration::ZERO, stop.as_mut()).await {
             break;
         }
@@ -116,7 +117,7 @@
     Ended::Stopped(held.release().await)
 }
 
-/// Sleeps; true if `stop` completes first or has completed.
+/// Waits for `wait`. Returns `true` if `stop` completes before that or has already completed.
 async fn stopped_within<C: Clock>(
     clock: &C,
     wait: Duration,
@@ -129,7 +130,11 @@
 }
 
 impl<C: Clock> LeaseHandle<C> {
-    /// Leave to go on with an act that was begun under this number.
+    /// Returns permission to continue an order that was started under this fencing number.
+    ///
+    /// # Errors
+    ///
+    /// [`Error::NotHeld`] if the lease is not held or its number has changed since.
     pub fn guard_for(&self, fence: Fence) -> Result<Guard> {
         let guard = self.guard()?;
         if guard.fence != fence {
--- a/crates/lilaccrank/src/quota.rs
+++ b/crates/lilaccrank/src/quota.rs
@@ -1,23 +1,24 @@
-//! Quotas of customers over all daemons.
+//! Enforces the quotas of customers across all daemons.
 //!
-//! Each daemon keeps a bucket of what all of them together may still spend: it takes out what it
-//! lets pass itself, and what the others tell that they did. So a customer may use all of its
-//! rate at one daemon, and no request waits for a word of another daemon.
+//! Each daemon keeps a token bucket per customer for the whole fleet. It withdraws the units that
+//! it lets pass itself and those that other daemons report. So a customer can use its whole rate
+//! at one daemon, and no request waits for a reply from another daemon.
 //!
-//! Of what is left the last tiers leave a part to those before them: a customer at its limit gets
-//! its urgent work done, not whatever came first. What is small against the whole burst is let
-//! pass with the first tier, since refusing it would make room for nothing else.
+//! Lower tiers leave headroom in the bucket for higher ones, so that the urgent requests of a
+//! customer at its limit pass, not those that happen to arrive first. Requests that are small
+//! against the burst need no headroom, since refusing them would free too little for any other.
 //!
-//! That holds for daemons which hear of each other at once. Of those outside its cell a daemon
-//! hears seldom, and each cell has a part of the quota for itself, by what is asked of it.
+//! Only daemons of the same cell report to each other at once; those of other cells are heard from
+//! seldom. Each cell therefore has its own share of the quota, which depends on its demand.
 //!
-//! What a customer asks in a second comes in clumps, and a cell's part of a small quota is less than
-//! one long request. A reserve on top of each burst lets clumps pass that are within the quota over a
-//! few seconds: with 36,000 tokens over eight cells, none in place of 66 in 100 requests of a customer
-//! that asks for half of 40,000 tokens a second are refused (the test `clumps_within_the_quota`).
+//! Requests of one customer arrive in bursts, and a cell's share of a small quota can be less than
+//! one long request. A reserve on top of each burst lets such requests pass as long as the customer
+//! is within its quota over a few seconds. For a customer that uses half of 40,000 tokens per
+//! second in a fleet of eight cells, 66% of the requests are refused without a reserve and none
+//! with a reserve of 36,000 tokens (the test `bursty_requests_within_the_quota`).
 //!
-//! A daemon that is not heard may be cut off and spending. Its part of the rate is left to it,
-//! by both sides, so that the parts of a split fleet together stay within the quota.
+//! A daemon that is not heard from may be partitioned and still spending. Both sides leave it its
+//! share of the rate, so that the two sides together stay within the quota.
 
 use std::time::{Duration, Instant};
 
@@ -37,61 +38,63 @@
 /// Result of spending.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A peer that is not heard for this long is no longer counted on, if it tells what it has four
-/// times a second.
+/// Time after its last report from which a peer is stale, and its share is left to it. Peers report
+/// four times per second.
 const PEER_STALE_AFTER: Duration = Duration::from_millis(1_000);
-/// Time for which a peer that is not heard keeps its part. Data centres are cut off from each
-/// other for minutes now and then; but a vm that was replaced must give its part back soon.
+/// Time for which a peer that is not heard from keeps its share. Partitions between data centres
+/// can last for minutes, but the share of a VM that was replaced must become available soon.
 const SHARE_RETENTION: Duration = Duration::from_secs(20);
-/// Longer times without a look are times in which this daemon stood still: it may never hear what
-/// the others spent meanwhile, and fills nothing up for them.
+/// Time between two ticks above which this daemon counts as paused. It may never learn what other
+/// daemons spent during the pause, so the buckets are not refilled for that time.
 const PAUSE_THRESHOLD: Duration = Duration::from_millis(1_000);
-/// Counts of a customer are told for this long after they last changed; a datagram may be lost.
+/// Time for which the counters of a customer are reported after their last change, since datagrams
+/// may be lost.
 const REPORT_WINDOW: Duration = Duration::from_millis(1_000);
-/// Customers that asked nothing for this long are not looked at for messages.
+/// Time without a change after which a customer is skipped when reports are built.
 const IDLE_AFTER: Duration = Duration::from_secs(5);
-/// Part of the burst that each tier leaves for those before it: with three tiers the last one
-/// passes while a third of the burst is there, and the first one finds two thirds.
+/// Fraction of the burst that each tier leaves to every tier above it. With three tiers, the last
+/// one may use a third of the burst and leaves two thirds to the first.
 const HEADROOM_FRACTION_PER_TIER: f64 = 1.0 / 3.0;
-/// Part of the burst that is left for others at most.
+/// Maximum fraction of the burst that a tier leaves to the tiers above it.
 const MAX_HEADROOM_FRACTION: f64 = 2.0 / 3.0;
-/// Requests below this part of the burst are small.
+/// Fraction of the burst below which a request is small and needs no headroom.
 const SMALL_REQUEST_FRACTION: f64 = 0.02;
-/// Longest time between two messages to the cell that tell all that changed of late.
+/// Time between two full reports to the cell, which contain all recently changed counters.
 const FULL_REPORT_INTERVAL: Duration = Duration::from_millis(250);
-/// Messages that tell one change to the cell: three in a row are lost once in 64,000 times on a bad link.
+/// Number of reports to the cell that carry one change. On a bad link, three in a row are lost once
+/// in 64,000 times.
 const REPORT_REPEATS: u8 = 3;
-/// Part of the burst below which little is left of a quota. What passes elsewhere until it is told comes
-/// out of the rest.
+/// Fraction of the burst below which the balance is low. Other daemons have to be told at once
+/// then: what they let pass until they hear of it comes out of the rest.
 const LOW_BALANCE_FRACTION: f64 = 0.5;
-/// Customers that are kept before those that spent nothing of late are dropped.
+/// Number of accounts from which those without recent changes are dropped.
 const ACCOUNTS_LIMIT: usize = 50_000;
 
-/// A customer has spent what it may.
+/// A request exceeds its customer's quota.
 #[derive(Clone, Copy, Debug, Error, PartialEq)]
 #[error("the quota is spent, try again in {retry_after:?}")]
 pub struct Error {
-    /// What is left of it, as far as is known.
+    /// Units left in this daemon's bucket.
     pub balance: f64,
-    /// The part that the daemons which hear each other may spend.
+    /// Share of the quota that the daemons which hear from each other may spend.
     pub share: f64,
-    /// When there is room again.
+    /// Time until enough units are available, if nothing else is spent.
     pub retry_after: Duration,
-    /// What would have to be left, with what is kept for tiers before.
+    /// Balance that the request requires, headroom for higher tiers included.
     pub required: f64,
 }
 
-/// What a request takes out of a quota.
+/// The units that a request takes out of a quota.
 #[derive(Clone, Copy, Debug)]
 pub struct Debit {
-    /// Its tier among those of its customer.
+    /// Tier of the request among those of its customer; 0 is the most urgent.
     pub tier: Tier,
-    /// What it counts as.
+    /// Size of the request in units of the quota: requests or tokens.
     pub units: u64,
 }
 
 impl Debit {
-    /// What it has to leave for the tiers before its own, of a bucket that can hold `burst` by now.
+    /// Units that have to be left to higher tiers, in a bucket that can hold `burst` units by now.
     fn headroom(self, burst: f64) -> f64 {
         if (self.units as f64) < burst * SMALL_REQUEST_FRACTION {
             return 0.0;
@@ -100,21 +103,21 @@
     }
 }
 
-/// What one daemon has let pass of one customer since it started, and what it took back of that.
+/// Units of one customer at one daemon, counted since the daemon started.
 ///
-/// Both only grow, so that messages may be lost, or come in any order.
+/// The counters only grow, so reports may be lost or arrive in any order.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Spent {
-    /// Units that were asked for, whether they passed or not.
+    /// Units requested, whether they passed or not.
     pub asked: u64,
     /// Units that passed.
     pub passed: u64,
-    /// Units of these that did not run after all.
+    /// Units that passed and were given back because their requests did not run.
     pub returned: u64,
 }
 
 impl Spent {
-    /// The later of two counts of one life.
+    /// Merges two reports of one incarnation into the later counters.
     fn merged(self, other: Self) -> Self {
         Self {
             asked: self.asked.max(other.asked),
@@ -123,54 +126,58 @@
         }
     }
 
-    /// Units spent since an earlier count.
+    /// Net units spent since an earlier report.
     fn units_since(self, earlier: Self) -> f64 {
         (self.passed - earlier.passed) as f64 - (self.returned - earlier.returned) as f64
     }
 }
 
-/// All that a daemon knows of quotas.
+/// State of all quotas at one daemon.
 #[derive(Debug)]
 pub struct Quotas {
     accounts: IndexMap<CustomerId, Account>,
-    /// Daemons that are assumed beside this one until they are heard.
+    /// Minimum number of peers assumed while fewer are known.
     assumed_peers: usize,
-    /// What is asked of this daemon, of its cell and of the others.
+    /// Demand on this cell and the others.
     demand: Demand,
     last_tick: Instant,
     peers: IndexMap<VmId, Peer>,
-    /// Customers whose counts changed of late, so that not all of them are looked at for each message.
+    /// Customers whose counters changed recently; only these are scanned for each report.
     recent: IndexSet<CustomerId>,
-    /// Units beyond a customer's burst that all daemons together may let pass at once.
+    /// Units that all daemons together may let pass at once beyond a customer's burst.
     reserve: f64,
     started: Instant,
-    /// When the cell was last told all.
+    /// Time of the last full report to the cell.
     last_full_report: Option<Instant>,
 }
 
+/// Token bucket and counters of one customer.
 #[derive(Debug)]
 struct Account {
     changed_at: Instant,
     filled_at: Instant,
-    /// How often the present counts were told to the cell.
+    /// Number of times the current counters were reported to the cell.
     times_reported: u8,
-    /// What all daemons may still spend; below zero if they overspent.
+    /// Units that the daemons which hear from each other may still spend; negative if they
+    /// overspent.
     balance: f64,
-    /// Units a second that the customer may spend.
+    /// Rate of the quota in units per second.
     quota_per_s: f64,
     spent: Spent,
 }
 
+/// Another daemon of the cell.
 #[derive(Debug)]
 struct Peer {
     last_heard: Instant,
     incarnation: Incarnation,
-    /// What it had spent when it last told.
+    /// Its last reported counters.
     spent: IndexMap<CustomerId, Spent>,
 }
 
 impl Quotas {
-    /// Nothing is known; `assumed` other daemons are taken to be there until they are heard.
+    /// Creates an empty state. Until as many peers are heard from, `assumed_peers` are assumed to
+    /// be there and spending their shares.
     #[must_use]
     pub fn new(assumed_peers: usize, now: Instant) -> Self {
         Self {
@@ -186,18 +193,18 @@
         }
     }
 
-    /// The same with a reserve on top of each burst.
+    /// Adds a reserve of units on top of each burst.
     #[must_use]
     pub fn with_reserve(self, reserve: f64) -> Self {
         Self { reserve, ..self }
     }
 
-    /// Lets `units` of a customer pass; whether little is left then, so that other daemons have to hear
-    /// of it at once.
+    /// Withdraws `debit` from a customer's quota. Returns `true` if the balance is low afterwards,
+    /// and other daemons have to be told at once.
     ///
     /// # Errors
     ///
-    /// They are beyond its quota.
+    /// Fails if the request exceeds the quota.
     pub fn spend(
         &mut self,
         customer: &CustomerId,
@@ -222,7 +229,7 @@
         let burst = quota.burst * share;
         let since_start = now.saturating_duration_since(started).as_secs_f64();
         let filled = burst.min(since_start * quota.per_s * share);
-        // What is larger than the whole burst passes when the bucket is full.
+        // A request larger than the whole burst passes when the bucket is full.
         let required = (debit.units as f64 + debit.headroom(filled)).min(burst);
         if account.balance < required {
             let missing = (required - account.balance) / (quota.per_s * share);
@@ -239,7 +246,7 @@
         Ok(account.balance < burst * LOW_BALANCE_FRACTION)
     }
 
-    /// Gives back what was let pass and did not run after all.
+    /// Gives back units that passed but whose request did not run.
     pub fn refund(&mut self, customer: &CustomerId, units: u64, now: Instant) {
         if let Some(account) = self.accounts.get_mut(customer) {
             account.balance += units as f64;
@@ -249,7 +256,8 @@
         }
     }
 
-    /// Has to be called often, so that a time in which this daemon stood still is known.
+    /// Samples the demand and detects pauses of this daemon. A second without a call counts as a
+    /// pause, so it must be called more often.
     pub fn tick(&mut self, now: Instant) {
         let elapsed = now.saturating_duration_since(self.last_tick);
         self.last_tick = now;
@@ -268,8 +276,9 @@
         self.demand.tick(own, mates, now);
     }
 
-    /// Sets this daemon's cell, and all daemons that are known to live, this one included. Who is no
-    /// longer of the cell keeps its part, in another cell or cut off.
+    /// Sets this daemon's cell, the other daemons of the cell (`mates`) and all live daemons, this
+    /// one included. A daemon that left the cell keeps its share, be it in another cell or
+    /// partitioned.
     pub fn set_cell(
         &mut self,
         cell: CellId,
@@ -281,12 +290,12 @@
         self.demand.set_cell(cell, mates.len(), live, now);
     }
 
-    /// Sets the time between two words of another cell.
+    /// Sets the time between two demand reports of a cell.
     pub fn set_report_interval(&mut self, report_interval: Duration) {
         self.demand.set_report_interval(report_interval);
     }
 
-    /// What all daemons are to know of what is asked of this cell; one daemon of the cell tells it.
+    /// Builds the report of this cell's demand for all daemons. One daemon of the cell sends it.
     pub fn cell_demand(&mut self, now: Instant) -> CellDemand<CustomerId> {
         let recent = self.recent.iter();
         let quotas = recent.filter_map(|customer| {
@@ -296,13 +305,13 @@
         self.demand.report_own(quotas, now)
     }
 
-    /// Takes in what is asked of a cell.
+    /// Merges the demand report of a cell.
     pub fn merge_cell_demand(&mut self, demand: CellDemand<CustomerId>, now: Instant) {
         self.demand.merge(demand, now);
     }
 
-    /// What the other daemons of the cell are to know by now: the counts that have changed, and now and
-    /// then all that changed of late.
+    /// Builds the next report to the other daemons of the cell: the counters that have changed, and
+    /// periodically all that changed recently.
     pub fn report(&mut self, now: Instant) -> Vec<(CustomerId, Spent)> {
         let age = |at: Instant| now.saturating_duration_since(at);
         let is_full = self
@@ -326,7 +335,7 @@
         report
     }
 
-    /// What this daemon let pass, for the customers of which that changed of late.
+    /// This daemon's counters of the customers for which they changed recently.
     #[must_use]
     pub fn spent(&self, now: Instant) -> Vec<(CustomerId, Spent)> {
         let recent = self.recent.iter();
@@ -337,6 +346,7 @@
             .collect()
     }
 
+    /// Stops reporting customers without recent changes.
     fn drop_idle(&mut self, now: Instant) {
         let accounts = &self.accounts;
         let is_recent = |account: &Account| now - account.changed_at < IDLE_AFTER;
@@ -344,7 +354,7 @@
             .retain(|customer| accounts.get(customer).is_some_and(is_recent));
     }
 
-    /// Takes in what another daemon of the cell let pass.
+    /// Merges the counters that another daemon of the cell reported.
     pub fn merge_spent(
         &mut self,
         vm: &VmId,
@@ -358,7 +368,7 @@
             incarnation,
             spent: IndexMap::new(),
         });
-        // What it spent while it was not heard came out of its own part.
+        // What the peer spent while it was not heard from came out of its own share.
         let was_silent = peer.incarnation != incarnation
             || now.saturating_duration_since(peer.last_heard) > PEER_STALE_AFTER;
         if was_silent {
@@ -367,7 +377,7 @@
         peer.last_heard = now;
         peer.incarnation = incarnation;
         for (customer, spent) in spent {
-            // The first word about a customer may tell of times long past.
+            // The first report about a customer may include units spent long ago.
             let known = peer.spent.entry(customer.clone()).or_insert(*spent);
             let merged = known.merged(*spent);
             let new = merged.units_since(*known);
@@ -378,13 +388,13 @@
         }
     }
 
-    /// A daemon that ends says so: its part is free at once.
+    /// Removes a daemon that announced its shutdown, whose share is free at once.
     pub fn remove_peer(&mut self, vm: &VmId) {
         self.peers.swap_remove(vm);
         self.demand.remove_peer(vm);
     }
 
-    /// The part of its cell's quotas that the daemons which hear each other may spend.
+    /// Fraction of the cell's share that the daemons which hear from each other may spend.
     fn share(&mut self, now: Instant) -> f64 {
         let age = |peer: &Peer| now.saturating_duration_since(peer.last_heard);
         self.peers.retain(|_, peer| age(peer) < SHARE_RETENTION);
@@ -397,6 +407,7 @@
         (1 + fresh) as f64 / (1 + all) as f64
     }
 
+    /// Returns the account of a customer, which is created empty as of this daemon's start.
     fn account(&mut self, customer: &CustomerId, now: Instant) -> &mut Account {
         if self.accounts.len() >= ACCOUNTS_LIMIT {
             self.accounts
@@ -421,6 +432,7 @@
         self.times_reported = 0;
     }
 
+    /// Refills the bucket for the time since the last refill, at `share` of the quota.
     fn refill(&mut self, quota: Quota, share: f64, now: Instant) {
         let elapsed = now.saturating_duration_since(self.filled_at);
         self.filled_at = now;
--- a/crates/lilaccrank/src/quota/demand.rs
+++ b/crates/lilaccrank/src/quota/demand.rs
@@ -1,14 +1,16 @@
-//! What customers ask of this cell and of the others, by which cells divide quotas.
+//! Divides quotas among cells by the demand on each.
 //!
-//! In a large fleet a bucket for all daemons would be overspent by whatever comes until they hear of each
-//! other. The parts that cells have of what is asked hardly change when a customer sends more to all of
-//! them, so that each cell stays within its own. One daemon of each cell tells all others what its
-//! cell is asked, so that the messages grow with the cells and not with the square of the daemons.
+//! In a large fleet, a bucket shared by all daemons would be overspent by whatever arrives before
+//! they hear from each other. The shares of the cells in the demand hardly change when a customer
+//! sends more to all of them, so each cell stays within its own share. One daemon of each cell
+//! reports the cell's demand to all others, so the number of messages grows with the number of
+//! cells and not with the square of the number of daemons.
 //!
-//! Parts add up to the quota only if all daemons divide by the same figures. A cell that knew its own demand
-//! at once and that of the others seconds later would take a multiple of its part at each surge; so a cell
-//! divides by what it told of itself. A cell that is not heard is taken to be asked as much as the others: by
-//! its last word, a daemon that is cut off would find its own demand grown against that of all others.
+//! The shares add up to the quota only if all daemons compute them from the same figures. A cell
+//! that used its current demand and the seconds-old reports of the others would take a multiple of
+//! its share at each surge, so a cell uses its own last report, too. A cell that is not heard from
+//! is assumed to have as much demand per daemon as the others. With its last report instead, a
+//! partitioned daemon would see its own demand grow against that of all others.
 
 use std::time::{Duration, Instant};
 
@@ -18,59 +20,61 @@
 use crate::cells::CellId;
 use crate::ids::{CustomerId, VmId};
 
-/// Time between two samples of what was asked. Requests of one customer come in clumps: over a second
-/// a few dozen daemons see a like number of them.
+/// Time between two samples of the demand. Requests of one customer arrive in bursts, but over one
+/// second a few dozen daemons see similar numbers of them.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Weight of the newest sample.
+/// Weight of the newest sample in the exponential moving average of the demand.
 const EWMA_WEIGHT: f64 = 0.5;
-/// Part of the quotas that is divided by the number of daemons, so that a cell of which nothing was
-/// asked so far has something to begin with.
+/// Fraction of a quota that is divided evenly by number of daemons, so that a cell without demand
+/// so far has a share to start with.
 const EVEN_FRACTION: f64 = 0.2;
-/// Time after a start or a change of the cell until the parts are by demand. What is asked is known
-/// of most cells after two samples, and is mostly chance before: of cells that have just started, one
-/// that had heard only of the others took a fortieth of its quotas for two seconds.
+/// Time after a start or a change of the cell over which shares move from even to proportional. The
+/// demand of most cells is known after two samples and is mostly noise before that: in a fleet that
+/// had just started, a cell that had heard only from the others took a fortieth of each quota for
+/// two seconds.
 const SETTLING_TIME: Duration = Duration::from_secs(5);
-/// Time for which a daemon that vanished keeps its part: it may be cut off and spending. A vm that was
-/// replaced must give its part back soon.
+/// Time for which a lost daemon keeps its share, since it may be partitioned and still spending.
+/// The share of a VM that was replaced must become available soon.
 const SHARE_RETENTION: Duration = Duration::from_secs(20);
-/// Paces without a word after which a cell counts as not heard.
+/// Number of report intervals without a report after which a cell's last report is stale.
 const STALE_AFTER_INTERVALS: f64 = 2.5;
-/// A cell tells of a customer that asks it for more than this part of what it has of the quota by number. Of
-/// the others, the cells assume this part.
+/// Fraction of a cell's even share of a quota from which the demand of that customer is reported.
+/// Of customers that are not reported, cells assume a demand of this fraction.
 const REPORT_THRESHOLD: f64 = 0.5;
 
-/// What is asked of one cell.
+/// Report of the demand on one cell.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct CellDemand<C> {
     /// The cell.
     pub cell: CellId,
-    /// Its daemons.
+    /// Number of daemons in the cell.
     pub members: u32,
-    /// Units a second by customer, of those that ask for much.
+    /// Units per second requested by each customer, without those of low demand.
     pub rates: Vec<(C, u32)>,
 }
 
-/// What is asked of all cells.
+/// Demand on all cells.
 #[derive(Debug)]
 pub(super) struct Demand {
     cell: CellId,
-    /// What cells told, this one included, by their index.
+    /// Last report of each cell by its index, this cell included.
     cells: IndexMap<u16, CellReport>,
-    /// Daemons that are known to live, this one included.
+    /// Live daemons, this one included.
     live: IndexSet<VmId>,
-    /// Daemons that vanished without a farewell.
+    /// Daemons that are no longer live but announced no shutdown, with the time of their loss.
     lost: IndexMap<VmId, Instant>,
-    /// Daemons of the cell beside this one.
+    /// Number of other daemons in the cell.
     mates: usize,
-    /// Units asked of the cell, by daemon; this one has no name.
+    /// Demand by daemon of the cell; the key of this daemon is `None`.
     rates_by_daemon: IndexMap<Option<VmId>, IndexMap<CustomerId, Rate>>,
-    /// Time between two words of a cell.
+    /// Time between two demand reports of a cell.
     report_interval: Duration,
     last_sample: Instant,
-    /// When this daemon started or its cell last changed.
+    /// Time at which this daemon started or its cell last changed.
     cell_changed: Instant,
 }
 
+/// The last report of a cell.
 #[derive(Debug)]
 struct CellReport {
     last_heard: Instant,
@@ -78,11 +82,12 @@
     rates: IndexMap<CustomerId, f64>,
 }
 
-/// Units asked for.
+/// Demand of one customer at one daemon.
 #[derive(Clone, Copy, Debug)]
 struct Rate {
-    /// Since that daemon started.
+    /// Units requested since the daemon started.
     asked: u64,
+    /// Moving average in units per second.
     per_s: f64,
 }
 
@@ -109,12 +114,12 @@
         }
     }
 
-    /// Sets the time between two words of a cell.
+    /// Sets the time between two demand reports of a cell.
     pub(super) fn set_report_interval(&mut self, report_interval: Duration) {
         self.report_interval = report_interval;
     }
 
-    /// Sets the cell, the number of its daemons beside this one, and all daemons that are known to live.
+    /// Sets the cell, the number of its other daemons, and all live daemons.
     pub(super) fn set_cell(
         &mut self,
         cell: CellId,
@@ -136,8 +141,8 @@
         self.live.clone_from(live);
     }
 
-    /// Takes in all that was asked of this daemon and of the others of its cell since each of them
-    /// started.
+    /// Samples the units requested from this daemon and the others of its cell, each counted since
+    /// its start.
     pub(super) fn tick<'a>(
         &mut self,
         own: impl Iterator<Item = (&'a CustomerId, u64)>,
@@ -165,7 +170,8 @@
         }
     }
 
-    /// What the other daemons are to know of this cell; `quotas` are the customers' quotas in units a second.
+    /// Builds the report of this cell, and merges it like those of other cells. `quotas` are the
+    /// customers' quotas in units per second.
     pub(super) fn report_own(
         &mut self,
         quotas: impl Iterator<Item = (CustomerId, f64)>,
@@ -186,7 +192,7 @@
         demand
     }
 
-    /// Takes in what a cell told. Words about another division of the fleet are out of date.
+    /// Merges the report of a cell. Reports for a different number of cells are out of date.
     pub(super) fn merge(&mut self, demand: CellDemand<CustomerId>, now: Instant) {
         if demand.cell.count != self.cell.count {
             return;
@@ -200,21 +206,21 @@
         self.cells.insert(demand.cell.index, report);
     }
 
-    /// A daemon ends, and leaves its part to the others.
+    /// Removes a daemon that announced its shutdown and leaves its share to the others.
     pub(super) fn remove_peer(&mut self, vm: &VmId) {
         self.live.swap_remove(vm);
         self.lost.swap_remove(vm);
         self.rates_by_daemon.swap_remove(&Some(vm.clone()));
     }
 
-    /// The part of a customer's quota of `per_s` units a second that this cell may spend.
+    /// Share of a customer's quota of `per_s` units per second that this cell may spend.
     pub(super) fn cell_share(&self, customer: &CustomerId, per_s: f64, now: Instant) -> f64 {
         let even_share = self.even_share();
         if self.cell.count < 2 {
             return even_share;
         }
         let daemon_count = self.daemon_count() as f64;
-        // What cells are assumed to be asked of which nothing is told, for each of their daemons.
+        // Demand assumed per daemon of a cell that does not report the customer.
         let unreported = REPORT_THRESHOLD * per_s / daemon_count;
         let rate = |report: &CellReport| match report.rates.get(customer) {
             Some(rate) => *rate,
@@ -242,11 +248,12 @@
         even_share * (1.0 - demand_weight) + demand_weight * rate(own) / total
     }
 
+    /// This cell's share by number of daemons.
     fn even_share(&self) -> f64 {
         (1 + self.mates) as f64 / self.daemon_count() as f64
     }
 
-    /// Daemons that may spend.
+    /// Number of daemons that may spend.
     fn daemon_count(&self) -> usize {
         (self.live.len() + self.lost.len()).max(1 + self.mates)
     }
@@ -256,6 +263,7 @@
             < self.report_interval.mul_f64(STALE_AFTER_INTERVALS)
     }
 
+    /// Units per second that a customer requests from this cell.
     fn cell_per_s(&self, customer: &CustomerId) -> f64 {
         let rates = self
             .rates_by_daemon
--- a/crates/lilaccrank/tests/suite/advisories.rs
+++ b/crates/lilaccrank/tests/suite/advisories.rs
@@ -1,4 +1,4 @@
-//! Facts that daemons learn and tell each other, and the quarantine that rests on them.
+//! Propagation of facts between daemons, and the quarantines derived from them.
 
 use std::time::{Duration, Instant, SystemTime};
 
@@ -26,7 +26,7 @@
     known
 }
 
-/// Whether the content is quarantined after these facts.
+/// Tests whether the content is quarantined after these facts.
 macro_rules! quarantine {
     ($name:ident, $facts:expr, $expected:literal) => {
         #[test]
@@ -69,7 +69,8 @@
     false
 );
 
-// Guards against a request that one version of a target completes and the next one crashes under.
+// A request that one version of a target completes may crash the next version. Crashes after the
+// completion count; a late report of the completion must not clear them.
 #[test]
 fn crashes_are_counted_anew_after_a_completion() {
     let now = Instant::now();
@@ -89,7 +90,7 @@
     known.merge(&[late], later);
     assert!(
         known.quarantine_remaining(CONTENT, later).is_some(),
-        "it was completed before"
+        "a completion before the crashes cleared the quarantine"
     );
 }
 
@@ -145,7 +146,7 @@
     );
 }
 
-// Guards against a record that grows without bound, or that another writer has filled with nonsense.
+// The record must stay bounded, and entries that another writer garbled must be skipped.
 #[test]
 fn record_is_bounded_and_validated() {
     let now = SystemTime::UNIX_EPOCH + Duration::from_secs(1_000_000);
@@ -163,7 +164,7 @@
     assert_eq!(recorded(&record, now), [(7, Duration::ZERO)]);
 }
 
-// Guards against memory that grows with what callers send.
+// Memory must not grow with the number of requests that callers send.
 #[test]
 fn completed_contents_expire() {
     let now = Instant::now();
@@ -206,7 +207,8 @@
     );
 }
 
-// Guards against memory that grows with what is told, and against a flood that ends a quarantine.
+// Memory must not grow with the number of facts received, and a flood of facts must not evict a
+// quarantine.
 #[test]
 fn fact_set_is_bounded() {
     let now = Instant::now();
@@ -252,7 +254,7 @@
     assert_eq!(known.take_updates(32, now).len(), QUARANTINE_CRASHES);
 }
 
-/// Daemons that ask two of them, the hubs, in turn.
+/// Simulated daemons that synchronize with two of them, the hubs.
 struct Fleet {
     daemons: IndexMap<VmId, Daemon>,
     now: Instant,
@@ -277,7 +279,8 @@
         }
     }
 
-    /// Each daemon asks one hub that it reaches; one exchange in ten is lost on its way back.
+    /// Each daemon sends a pull request to a random hub that it can reach; one reply in ten is
+    /// lost.
     fn round(&mut self, reaches: impl Fn(usize, usize) -> bool) {
         self.now += Duration::from_millis(200);
         for requester in 0..self.daemons.len() {
@@ -334,10 +337,11 @@
     }
 }
 
-/// Rounds in which all daemons have to know: three seconds.
+/// Number of rounds within which all daemons must know of a quarantine: three seconds.
 const ROUNDS: usize = 15;
 
-// Guards against a crash that stays with the daemon that saw it: each of three saw one.
+// Each of three daemons sees one crash. All daemons must learn of all three, or none would
+// quarantine the content.
 #[test]
 fn crashes_seen_by_different_daemons_reach_all() {
     for (daemons, seed) in [(3, 1), (7, 2), (91, 3), (700, 4)] {
@@ -350,16 +354,19 @@
         }
         assert_eq!(fleet.quarantined_count(), daemons);
         let sent: usize = fleet.daemons.values().map(|daemon| daemon.sent).sum();
-        assert!(sent <= 20 * daemons, "{sent} facts told among {daemons}");
+        assert!(
+            sent <= 20 * daemons,
+            "{sent} facts sent among {daemons} daemons"
+        );
         let before = sent;
         fleet.round(|_, _| true);
         fleet.round(|_, _| true);
         let sent: usize = fleet.daemons.values().map(|daemon| daemon.sent).sum();
-        assert_eq!(sent, before, "nothing new, nothing told");
+        assert_eq!(sent, before, "known facts were sent again");
     }
 }
 
-// Guards against a quarantine that is lost with the daemons that were asked, or with a restart.
+// A quarantine must not be lost when both hubs, or any other daemon, restart.
 #[test]
 fn quarantine_survives_restarts() {
     let mut fleet = Fleet::new(7, 5);
@@ -378,7 +385,7 @@
     assert_eq!(fleet.quarantined_count(), 7);
 }
 
-// Guards against a partition whose sides each know a part of the crashes for ever.
+// Each side of a partition knows only some of the crashes. After healing, both must know all.
 #[test]
 fn partition_sides_converge_after_healing() {
     let mut fleet = Fleet::new(8, 6);
--- a/crates/lilaccrank/tests/suite/lease.rs
+++ b/crates/lilaccrank/tests/suite/lease.rs
@@ -1,4 +1,4 @@
-//! Leases under pauses, lost answers and a store that is away: never two holders at once.
+//! Leases under pauses, lost replies and store outages: there are never two holders at once.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
 fn acquire(holder: &str, store: &FakeStore, clock: &PausedClock) -> HeldLease {
     match executor::block_on(candidate(holder, store, clock).attempt()) {
         Attempt::Held(held) => held,
-        Attempt::Wait(..) => panic!("{holder} has to wait"),
+        Attempt::Wait(..) => panic!("{holder} did not acquire the lease"),
     }
 }
 
@@ -48,8 +48,8 @@
     }
 }
 
-// The write that took the lease had effect, but its answer was lost. Without reading back, the
-// holder would take itself for beaten, and nobody would give orders for a whole duration.
+// The write that acquires the lease takes effect, but the reply is lost. Without reading back, the
+// holder would not know that it holds the lease, and nobody could send orders until it expires.
 #[test]
 fn lost_answer_to_acquiring_is_resolved_by_reading_back() {
     let clock = PausedClock::new();
@@ -57,24 +57,24 @@
     store.faults.lose_answer.set(true);
     let Attempt::Wait(retry, _) = executor::block_on(candidate("a", &store, &clock).attempt())
     else {
-        panic!("no answer came");
+        panic!("held without a reply from the store");
     };
     clock.advance(Duration::from_secs(1));
     let Attempt::Held(held) = executor::block_on(retry.attempt()) else {
-        panic!("the lease is its own");
+        panic!("did not recognise its own write");
     };
     let guard = held.guard().expect("held");
-    assert_eq!(guard.fence, 1, "taken twice");
+    assert_eq!(guard.fence, 1, "the lease was acquired twice");
     let remaining = held.expires_at() - clock.now();
     assert_eq!(
         remaining,
         Duration::from_secs(10 - 1 - 1),
-        "its time counts from the first write"
+        "the lease must expire relative to the first write"
     );
 }
 
-// The answer to a renewal is lost and the version has moved on. The next renewal at the old
-// version conflicts, which looks as if another had taken the lease.
+// The reply to a renewal is lost after the version has changed. Without reading back, the next
+// renewal at the old version would conflict, as if another process had acquired the lease.
 #[test]
 fn lost_answer_to_renewing_is_resolved_by_reading_back() {
     let clock = PausedClock::new();
@@ -88,9 +88,9 @@
     assert_eq!(held.guard().expect("held").fence, 1);
 }
 
-// The holder is paused while it waits for the answer of its renewal, for longer than the lease
-// lasts, and then finds the answer "renewed". Another has the lease by then; the first must not
-// count its time from when it woke.
+// The holder is paused for longer than the lease duration while it waits for the reply to its
+// renewal, and then reads a successful reply. Another process may hold the lease by then, so the
+// expiry must not be computed from the time at which the holder resumed.
 #[test]
 fn holder_paused_in_a_renewal_finds_it_lost() {
     let clock = PausedClock::new();
@@ -105,14 +105,14 @@
     pool.run_until_stalled();
     clock.advance(Duration::from_secs(20));
     let Renewal::Lost(lost) = pool.run_until(renewal) else {
-        panic!("believes in a lease that ended 11 s ago");
+        panic!("still held 11 s after the expiry");
     };
     assert_eq!(lost.reason().to_string(), "not renewed in time");
 }
 
-// A target has obeyed number 1000 when the store is wiped. The daemon that takes the lease then has
-// just started and has seen no number at all; with number 1 the target would refuse each order of
-// it, and of its successors, for good.
+// A target has accepted fencing number 1000 when the store is wiped. The daemon that acquires the
+// lease next has just started and has seen no number. If it used 1, the target would refuse all its
+// orders, and those of its successors, permanently.
 #[test]
 fn fence_after_a_wiped_store_exceeds_earlier_ones() {
     let clock = PausedClock::new();
@@ -124,8 +124,8 @@
     assert!(fence(&after) > fence(&before));
 }
 
-// The duty moves to another daemon, and the first gives the lease up. From then on it must not
-// act, and the other takes the lease at once, not only when its time is over.
+// The duty moves to another daemon, and the first one releases the lease. From then on it must not
+// act, and the other one must be able to acquire the lease at once, without waiting for its expiry.
 #[test]
 fn stopped_keeper_releases_the_lease() {
     let clock = PausedClock::new();
@@ -143,7 +143,10 @@
     assert_eq!(handle.guard().expect("held").fence, 1);
     stop.send(()).expect("the keeper runs");
     let keeper = pool.run_until(running);
-    assert!(handle.guard().is_err(), "acts without the duty");
+    assert!(
+        handle.guard().is_err(),
+        "the handle still permits orders after the release"
+    );
     let other = acquire("b", &store, &clock);
     assert_eq!(other.guard().expect("held").fence, 2);
     drop(keeper);
@@ -176,7 +179,7 @@
     }
 }
 
-/// Three keepers of one lease.
+/// Three processes that compete for one lease, each with its own keeper.
 struct Keepers {
     clock: PausedClock,
     last: Option<(usize, u64)>,
@@ -233,7 +236,8 @@
         })
     }
 
-    /// At most one rival may act, and the number grows with each change of holder.
+    /// Returns `true` if at most one process may act and the fencing number has grown with each
+    /// change of holder.
     fn is_consistent(&mut self) -> bool {
         self.pool.run_until_stalled();
         let fences = self.handles.iter().map(|handle| handle.guard().ok());
@@ -257,14 +261,15 @@
 }
 
 quickcheck! {
-    // Whatever is paused, lost, late or away: two holders at once would give a target opposite
-    // orders, and each would take the other's for its own.
+    // Two holders at once would send a target contradictory orders. No sequence of pauses, lost
+    // replies, delays and outages may lead to that.
     fn never_two_holders(events: Vec<Event>) -> bool {
         let mut keepers = Keepers::new();
         events.into_iter().all(|event| keepers.apply(event))
     }
 
-    // After all faults the lease is held again, or targets would stay as they are for ever.
+    // After all faults have ended the lease must be held again, or targets would get no more
+    // orders.
     fn lease_is_held_again_after_faults(events: Vec<Event>) -> bool {
         let mut keepers = Keepers::new();
         for event in events {
--- a/crates/lilaccrank/tests/suite/quota.rs
+++ b/crates/lilaccrank/tests/suite/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas of customers over several daemons that tell each other what they let pass.
+//! Quotas of customers across daemons that report to each other what they let pass.
 
 use std::time::{Duration, Instant};
 
@@ -9,10 +9,9 @@
     CUSTOMER, Fleet, QUOTA, REPORT_INTERVAL, REQUEST_TOKENS, WINDOW, allowed,
 };
 
-// A large customer sends three times its quota to seven daemons. Each of them alone sees less than
-// the quota; with a bucket of its own each would let all of it pass. Hearing of each other they
-// let pass what the quota says, and not much less: what is refused below it is lost to the
-// customer.
+// A customer sends three times its quota, evenly to seven daemons. Each daemon alone sees less than
+// the quota and would let all of it pass. With reports from each other they must let pass no more
+// than the quota, and not much less.
 #[test]
 fn fleet_passes_the_quota_of_one_daemon() {
     let mut fleet = Fleet::new(7);
@@ -24,8 +23,8 @@
     assert!(passed as f64 >= QUOTA.per_s * (seconds - 1.0), "{passed}");
 }
 
-// The naive way beside it: daemons that hear nothing and take the whole rate each let seven times
-// the quota pass. This is what the messages are for.
+// Control experiment: daemons without reports, each with the whole rate, let a multiple of the
+// quota pass. It shows that the reports are needed.
 #[test]
 fn independent_buckets_pass_a_multiple() {
     let mut alone: Vec<Quotas> = (0..7).map(|_| Quotas::new(0, Instant::now())).collect();
@@ -43,9 +42,9 @@
     assert!(passed as f64 > 1.7 * (QUOTA.per_s * 7.0), "{passed}");
 }
 
-// A data centre with three of seven daemons is cut off for six seconds while the customer presses
-// on both sides. Neither side can know what the other lets pass; each takes its own part only.
-// Together with the time before and after they stay within the quota and the burst of a restart.
+// A data centre with three of seven daemons is partitioned for six seconds under load on both
+// sides. Neither side knows what the other lets pass, so each may use only its own share. Windows
+// that include the time before and after the partition must stay within the quota, too.
 #[test]
 fn both_sides_of_a_partition_stay_within_their_shares() {
     let mut fleet = Fleet::new(7);
@@ -57,8 +56,8 @@
     assert!(max_passed <= allowed(WINDOW) * 1.1, "{max_passed}");
 }
 
-// A daemon that is cut off alone goes on serving its part: its callers are not turned away for a
-// cut that is not theirs.
+// A daemon that is isolated from all others must go on serving its share of the quota instead of
+// refusing its callers.
 #[test]
 fn isolated_daemon_serves_its_share() {
     let mut fleet = Fleet::new(7);
@@ -80,8 +79,8 @@
     );
 }
 
-// A machine stands still for four seconds while the others spend the whole quota. When it wakes
-// it has heard none of that; filled up for the time, it would let a whole burst pass on top.
+// A daemon receives no reports for four seconds while the others spend the quota. If its bucket
+// were filled with more than its share afterwards, it would let a whole burst pass in addition.
 #[test]
 fn paused_daemon_does_not_refill() {
     let mut fleet = Fleet::new(7);
@@ -97,8 +96,8 @@
     );
 }
 
-// One datagram in three is lost. Counts are told as sums since the start, so that the next
-// datagram makes good what the lost one would have told.
+// One datagram in three is lost. Reports carry totals since the start, so the next one includes
+// what the lost one reported.
 #[test]
 fn lost_messages_are_compensated() {
     let mut fleet = Fleet::new(7);
@@ -116,8 +115,8 @@
     assert!(max_passed <= allowed(WINDOW) * 1.03, "{max_passed}");
 }
 
-// All daemons are killed and started at once while a customer presses. New lives know nothing; a
-// full bucket each would be seven bursts at once.
+// All daemons are restarted at once under load and know nothing of what was spent. If they started
+// with full buckets, seven bursts would pass at once.
 #[test]
 fn restarted_daemons_start_with_empty_buckets() {
     let mut fleet = Fleet::new(7);
@@ -130,14 +129,14 @@
     assert_eq!(at_once, 0);
 }
 
-/// What is left in the bucket, as a part of the burst, and whether a request passes.
+/// Tests whether a request passes when the given fraction of the burst is left in the bucket.
 macro_rules! tiers {
     ($name:ident, $balance:literal, $tier:literal, $units:literal, $passes:literal) => {
         #[test]
         fn $name() {
             let mut quotas = Quotas::new(0, Instant::now());
             let mut now = Instant::now();
-            // Fills the bucket, then takes out all but what is to be left.
+            // Fill the bucket, then withdraw all but the balance.
             for _ in 0..4 {
                 now += Duration::from_millis(500);
                 quotas.tick(now);
@@ -151,9 +150,9 @@
     };
 }
 
-// A customer at its limit asks for reviews and chats at once. In the order of their coming its
-// reviews would be refused for chats; so the last tiers leave a part to those before them. What
-// is small takes nothing noticeable from the others and passes.
+// A customer at its limit sends urgent and bulk requests at once. If they passed in order of
+// arrival, urgent requests would be refused in favour of bulk requests, so lower tiers leave
+// headroom. Small requests need none, since they take next to nothing from the others.
 tiers!(first_tier_may_empty_the_bucket, 0.1, 0, 3_000, true);
 tiers!(last_tier_leaves_its_headroom, 0.6, 2, 3_000, false);
 tiers!(last_tier_passes_above_its_headroom, 0.9, 2, 3_000, true);
@@ -161,8 +160,8 @@
 tiers!(middle_tier_passes_above_its_headroom, 0.5, 1, 3_000, true);
 tiers!(small_requests_need_no_headroom, 0.1, 2, 200, true);
 
-// A request is let pass and then refused for another reason. It did not run: the customer gets
-// back what it took.
+// A request passes the quota and is then refused for another reason. It did not run, so its units
+// must be refunded.
 #[test]
 fn units_that_did_not_run_are_refunded() {
     let mut quotas = Quotas::new(0, Instant::now());
@@ -176,9 +175,9 @@
     assert!(quotas.spend(&customer, QUOTA, all, now).is_ok());
 }
 
-// Engines are full and half of what passes the quota is refused for want of room. Each daemon
-// gives back what it took, and the others hear of it; if they did not, a customer would be
-// refused for requests that never ran, at all daemons but one.
+// The engines are full, and half of the requests that pass the quota are refused for that reason.
+// Each daemon refunds them, and must report the refunds. Otherwise all other daemons would count
+// requests that never ran against the customer's quota.
 #[test]
 fn refunds_are_reported() {
     let mut fleet = Fleet::new(7);
@@ -200,8 +199,8 @@
     assert!(max_passed <= allowed(WINDOW) * 1.02, "{max_passed}");
 }
 
-// An older datagram overtaken by a newer one tells less than what is known. It takes nothing
-// back, and the next one doesn't count again what was counted.
+// A datagram that arrives after a newer one reports lower totals than are known. It must not lower
+// them, or the next datagram would be counted again.
 #[test]
 fn late_message_is_not_counted_twice() {
     let start = Instant::now();
@@ -217,7 +216,7 @@
         reports.push(sender.spent(now));
     }
     receiver.merge_spent(&"vm0".to_owned(), 1, &reports[0], now);
-    // The hearer knows the customer, and has half a bucket left.
+    // The receiver now has an account for the customer.
     receiver
         .spend(&customer, QUOTA, Fleet::debit(0, 1), now)
         .unwrap();
@@ -231,7 +230,7 @@
     );
 }
 
-// The reserve is no further quota: a surge on all cells takes it once, and the rate after that.
+// The reserve does not raise the rate: a surge spends it once, and only the rate passes after that.
 #[test]
 fn reserve_is_spent_once() {
     let mut fleet = Fleet::new(7);
@@ -248,8 +247,9 @@
     assert!(passed as f64 <= QUOTA.per_s * 25.0 + 36_000.0, "{passed}");
 }
 
-// A second after its start a bucket holds what a second fills. The last tier leaves its part of that
-// to the others, not its part of a bucket that was never full.
+// Shortly after the start a bucket holds only what has been refilled since. The last tier must
+// leave headroom relative to that, not to the burst, or it would be refused until the bucket is
+// full.
 #[test]
 fn new_bucket_serves_the_last_tier() {
     let quota = Quota {
--- a/crates/lilaccrank/tests/suite/quota_cells.rs
+++ b/crates/lilaccrank/tests/suite/quota_cells.rs
@@ -1,4 +1,4 @@
-//! Quotas that the cells of a large fleet divide.
+//! Division of quotas among the cells of a large fleet.
 
 use std::time::{Duration, Instant};
 
@@ -11,8 +11,8 @@
     CUSTOMER, Fleet, QUOTA, REPORT_INTERVAL, REQUEST_TOKENS, WINDOW, allowed,
 };
 
-/// A fleet in cells: daemons of a cell tell each other all, and one of each cell tells the other cells what
-/// it is asked.
+/// Every daemon sends its counters to the others of its cell. The first daemon of each cell for
+/// which `sends_report` returns `true` sends the cell's demand to all other daemons.
 fn exchange_cell_reports(
     daemons: &mut [Quotas],
     cell_size: usize,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Daemons in cells of this size.
+/// Creates `count` daemons in cells of `cell_size`.
 fn new_in_cells(
     count: usize,
     cell_size: usize,
@@ -57,9 +57,9 @@
     daemons
 }
 
-/// Forty daemons in four cells: what passes of three times, later of `surge` times the quota, if
-/// cells hear of each other every 640 ms and one word in ten is lost. Requests go to daemons by
-/// `turn`.
+/// Runs forty daemons in four cells that exchange demand reports every 640 ms, of which one in ten
+/// is lost. Each step sends two requests, in the second half `surge` requests, each to the daemon
+/// that `daemon_for` returns.
 fn cells_under_load(surge: usize, daemon_for: impl Fn(usize) -> usize) -> Fleet {
     let report_interval = Duration::from_millis(640);
     let steps_apart = (report_interval.as_millis() / REPORT_INTERVAL.as_millis()) as usize;
@@ -84,9 +84,9 @@
     fleet
 }
 
-// A customer of a large fleet sends three times its quota, then suddenly ten times as much. With
-// a bucket for all daemons, each would let pass what comes until it hears of the others, 0.6
-// seconds later. Each cell stays within its part.
+// A customer sends three times its quota to all cells, then ten times. With one bucket for all
+// daemons, each would let requests pass until it hears of the others 0.6 s later. Each cell must
+// stay within its share instead.
 #[test]
 fn surge_on_all_cells() {
     let fleet = cells_under_load(7, |request| request);
@@ -96,8 +96,8 @@
     assert!(passed as f64 >= QUOTA.per_s * 18.0, "{passed}");
 }
 
-// Half of a customer's callers happen to be connected to one cell of four. Divided evenly, that
-// cell would refuse half of what it is asked while the others don't use their parts.
+// Half of a customer's requests arrive at one cell of four. With even shares, that cell would
+// refuse half of them while the others leave their shares unused.
 #[test]
 fn cell_with_more_demand() {
     let skewed = |request: usize| match request % 2 {
@@ -111,8 +111,9 @@
     assert!(passed as f64 >= QUOTA.per_s * 18.0, "{passed}");
 }
 
-/// Parts in 100 of a customer's requests that are refused. Half of its quota of forty thousand tokens
-/// a second is asked of 72 daemons in eight cells, by callers that each send a few requests at once.
+/// Percentage of a customer's requests that are refused if it uses half of its quota of 40,000
+/// tokens per second, at 72 daemons in eight cells, with callers that each send a few requests at
+/// once.
 fn refused_percent(reserve: f64) -> usize {
     const SMALL: Quota = Quota {
         burst: 40_000.0,
@@ -124,7 +125,7 @@
     let mut daemons = new_in_cells(72, 9, new, start);
     let (mut now, mut refused, mut asked) = (start, 0, 0);
     for step in 0..1_000_usize {
-        // Three reviews at once, 2.2 times a second, at a daemon drawn from all.
+        // Three requests at once, 2.2 times per second, to a pseudorandom daemon.
         if step > 250 && step.is_multiple_of(23) {
             let at = step.wrapping_mul(2_654_435_761) >> 7;
             for tier in [0, 1, 0] {
@@ -142,18 +143,18 @@
     refused * 100 / asked
 }
 
-// A small customer of a large fleet stays within its quota over any second or two, but its callers
-// send a few reviews at once to one daemon. A cell's part of the quota holds less than two of them:
-// the others would be refused though the customer is within its quota.
+// A small customer stays within its quota over any second or two, but its callers send a few
+// requests at once to one daemon. A cell's share of the quota holds fewer than two of them. Without
+// the reserve, the others would be refused although the customer is within its quota.
 #[test]
 fn bursty_requests_within_the_quota() {
     let without = refused_percent(0.0);
-    println!("refused without a reserve: {without} in 100");
+    println!("refused without a reserve: {without}%");
     assert!(without > 20, "{without}");
     assert_eq!(refused_percent(36_000.0), 0);
 }
 
-// Parts by what cells tell just after a start would leave a cell a fortieth of its quotas for seconds.
+// Shares by demand just after a start would leave a cell a fortieth of each quota for seconds.
 #[test]
 fn new_cell_takes_an_even_share() {
     let start = Instant::now();
@@ -177,8 +178,8 @@
         }
         quotas.cell_demand(now);
     }
-    // Filled for a second and a half at an eighth of the rate, up to an eighth of the burst, of which
-    // three tenths are by demand already.
+    // The bucket has been refilled for 1.5 s at an eighth of the rate, up to an eighth of the
+    // burst. By then three tenths of the share depend on demand.
     let debit = Fleet::debit(0, REQUEST_TOKENS);
     let passed = (0..3).filter(|_| quotas.spend(&customer, QUOTA, debit, now).is_ok());
     assert_eq!(passed.count(), 3);
--- a/crates/lilaccrank/tests/suite/quota_fleet.rs
+++ b/crates/lilaccrank/tests/suite/quota_fleet.rs
@@ -1,4 +1,4 @@
-//! Quotas over hundreds of daemons in cells, which hear of those outside their cell once in seconds.
+//! Quotas across hundreds of daemons in cells that report to each other only every two seconds.
 
 use std::time::{Duration, Instant};
 
@@ -9,11 +9,11 @@
 
 const CUSTOMER: &str = "depot";
 const DAEMONS: usize = 300;
-/// Time between two messages to the cell.
+/// Time between two reports of a daemon to its cell.
 const STEP: Duration = Duration::from_millis(50);
-/// Time between two messages of a cell to all daemons.
+/// Time between two demand reports of a cell to all daemons.
 const CELL_REPORT_INTERVAL: Duration = Duration::from_millis(2_000);
-/// Time until a daemon that is cut off is no member any more, and knows no other one.
+/// Time after which an isolated daemon is no longer a member and knows no other daemon.
 const SUSPICION_TIMEOUT: Duration = Duration::from_secs(2);
 /// Tokens of one request.
 const REQUEST_TOKENS: u64 = 3_000;
@@ -23,26 +23,26 @@
     plain_tokens: 200,
     unit: QuotaUnit::Tokens,
 };
-/// Units beyond the quota that all daemons together may let pass on purpose.
+/// Reserve of all daemons together beyond the burst, in units.
 const RESERVE: f64 = 36_000.0;
-/// Window over which users add up what passed.
+/// Window over which the units that passed are summed.
 const WINDOW: Duration = Duration::from_secs(8);
 
-/// What users allow in any window: a tenth more than the quota, and a slack.
+/// Units allowed in any window: a tenth more than the quota, plus a fixed slack.
 const ALLOWED: f64 = (QUOTA.per_s * 8.0 + QUOTA.burst) * 1.1 + 72_000.0;
 
-/// A fleet under one customer's requests.
+/// A simulated fleet that serves one customer.
 struct Fleet {
-    /// Daemons of each daemon's cell, in its view.
+    /// For each daemon, the other daemons of its cell as it sees them.
     cells: Vec<Vec<usize>>,
     daemons: Vec<Quotas>,
-    /// Daemons that hear nobody and that nobody hears.
+    /// For each daemon, whether it is isolated from all others.
     isolated: Vec<bool>,
     names: Vec<VmId>,
     now: Instant,
     passed: Vec<(Instant, u64)>,
     rng_state: u64,
-    /// Which daemons speak for their cells.
+    /// For each daemon, whether it sends the demand reports of its cell.
     is_speaker: Vec<bool>,
     step: usize,
 }
@@ -70,7 +70,7 @@
         fleet
     }
 
-    /// Divides the fleet into cells, as each daemon sees its members.
+    /// Assigns each daemon to a cell according to its own view of the members.
     fn assign_cells(&mut self) {
         for me in 0..DAEMONS {
             let can_reach =
@@ -95,7 +95,7 @@
         (self.rng_state >> 33) as usize % below
     }
 
-    /// `times` the quota is asked for `time`, at daemons drawn from all.
+    /// Sends `times` the quota for `time`, to pseudorandom daemons.
     fn apply_load(&mut self, time: Duration, times: f64) {
         let until = self.now + time;
         let each_step = QUOTA.per_s * times * STEP.as_secs_f64() / REQUEST_TOKENS as f64;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The most that passed in any window.
+    /// Maximum number of units that passed in any window.
     fn max_passed(&self) -> u64 {
         let mut max_passed = 0;
         let (mut sum, mut first) = (0, 0);
@@ -168,8 +168,8 @@
     }
 }
 
-// A customer that suddenly sends six times as much would pass a multiple of its quota until the cells hear of
-// each other's share.
+// A customer suddenly sends six times as much. It must not pass a multiple of its quota before the
+// cells hear of each other's demand.
 #[test]
 fn surge_on_all_daemons() {
     let mut fleet = Fleet::new();
@@ -177,14 +177,14 @@
     let since = fleet.now;
     fleet.apply_load(Duration::from_secs(12), 3.0);
     let max_passed = fleet.max_passed() as f64;
-    println!("most {:.3} of what is allowed", max_passed / ALLOWED);
+    println!("maximum: {:.3} of the allowed units", max_passed / ALLOWED);
     assert!(max_passed <= ALLOWED, "{max_passed} of {ALLOWED}");
     let passed = fleet.passed_since(since) as f64;
     assert!(passed >= QUOTA.per_s * 12.0 * 0.9, "{passed}");
 }
 
-// Daemons that are cut off would count on what the others asked before a surge, and each take a multiple of
-// its part.
+// A third of the daemons is isolated before a surge. If they relied on the last demand reports of
+// the others, each would take a multiple of its share.
 #[test]
 fn surge_while_a_third_is_isolated() {
     let mut fleet = Fleet::new();
@@ -197,6 +197,6 @@
     fleet.apply_load(Duration::from_secs(1), 0.5);
     fleet.apply_load(Duration::from_secs(10), 3.0);
     let max_passed = fleet.max_passed() as f64;
-    println!("most {:.3} of what is allowed", max_passed / ALLOWED);
+    println!("maximum: {:.3} of the allowed units", max_passed / ALLOWED);
     assert!(max_passed <= ALLOWED, "{max_passed} of {ALLOWED}");
 }
--- a/crates/lilaccrank/tests/suite/quota_harness.rs
+++ b/crates/lilaccrank/tests/suite/quota_harness.rs
@@ -1,4 +1,4 @@
-//! Daemons that tell each other what they let pass of a quota, and callers that send more than it allows.
+//! A simulated fleet whose daemons share one quota, and callers that exceed it.
 
 use std::time::{Duration, Instant};
 
@@ -6,11 +6,11 @@
 use lilaccrank::quota::{Debit, Quotas};
 
 pub const CUSTOMER: &str = "depot";
-/// Time between two messages of a daemon.
+/// Time between two reports of a daemon.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(20);
-/// Tokens of one request: a review of a contract.
+/// Tokens of one request.
 pub const REQUEST_TOKENS: u64 = 3_000;
-/// A hundred thousand tokens a second, and as many at once.
+/// 100,000 tokens per second, with a burst of the same size.
 pub const QUOTA: Quota = Quota {
     burst: 100_000.0,
     per_s: 100_000.0,
@@ -18,7 +18,7 @@
     unit: QuotaUnit::Tokens,
 };
 
-/// Daemons that get more requests than the quota allows, in turn.
+/// Daemons that share one quota, and the requests that passed at them.
 pub struct Fleet {
     pub daemons: Vec<Quotas>,
     pub now: Instant,
@@ -41,7 +41,7 @@
         Debit { tier, units }
     }
 
-    /// Gives the last request that passed back at the daemon that let it pass.
+    /// Refunds the last request that passed, at the daemon that let it pass.
     pub fn refund(&mut self, at: usize) {
         let (_, units) = self.passed.pop().unwrap();
         self.daemons[at].refund(&CUSTOMER.to_owned(), units, self.now);
@@ -55,7 +55,7 @@
         spent.is_ok()
     }
 
-    /// Each daemon of `tellers` tells all those that `hears` lets it reach.
+    /// Each daemon reports to all others for which `reaches(from, to)` returns `true`.
     pub fn exchange_reports(&mut self, reaches: impl Fn(usize, usize) -> bool) {
         for from in 0..self.daemons.len() {
             let spent = self.daemons[from].spent(self.now);
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Three times the quota comes for `time`, evenly over the daemons; each tells the others that
-    /// `hears` lets it reach.
+    /// Sends three times the quota for `time`, evenly to all daemons, which report to the others
+    /// for which `reaches(from, to)` returns `true`.
     pub fn apply_load(&mut self, time: Duration, reaches: impl Fn(usize, usize) -> bool) {
         let until = self.now + time;
         let mut at = 0;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The most that passed in any window of this length.
+    /// Maximum number of units that passed in any window of this length.
     pub fn max_passed_in(&self, window: Duration) -> u64 {
         let starts = self.passed.iter().map(|(at, _)| *at);
         let in_window = |start: Instant| {
@@ -95,9 +95,10 @@
     }
 }
 
-/// What a window may hold of the quota alone.
+/// Units that the quota allows in a window.
 pub fn allowed(window: Duration) -> f64 {
     QUOTA.per_s * window.as_secs_f64() + QUOTA.burst
 }
 
+/// Window over which the units that passed are summed.
 pub const WINDOW: Duration = Duration::from_secs(8);
