--- a/crates/lilaccrank/src/advisories.rs
+++ b/crates/lilaccrank/src/advisories.rs
@@ -313,9 +313,9 @@
             return false;
         }
         if let Fact::Completed { content } = fact {
-            let fact_content = Some(content);
+            let subject = Some(content);
             self.facts.retain(|_, record| {
-                record.fact.content() != fact_content || record.observed_at > observed_at
+                record.fact.content() != subject || record.observed_at > observed_at
             });
         }
         self.revision += 1;
@@ -356,7 +356,7 @@
     /// Times at which targets crashed while serving this content.
     fn crashes(&self, content: ContentDigest, now: Instant) -> impl Iterator<Item = Instant> {
         let crashes = self.facts.values().filter(move |record| {
-            matches!(record.fact, Fact::Crash { content: fact_content, .. } if fact_content == content)
+            matches!(record.fact, Fact::Crash { content: subject, .. } if subject == content)
                 && record.is_current(now)
         });
         crashes.map(|record| record.observed_at)
--- a/crates/lilaccrank/tests/suite/quota.rs
+++ b/crates/lilaccrank/tests/suite/quota.rs
@@ -82,7 +82,7 @@
 // A daemon receives no reports for four seconds while the others spend the quota. If its bucket
 // were filled with more than its share afterwards, it would let a whole burst pass in addition.
 #[test]
-fn paused_daemon_does_not_refill() {
+fn daemon_without_reports_does_not_refill() {
     let mut fleet = Fleet::new(7);
     fleet.apply_load(Duration::from_secs(4), |_, _| true);
     fleet.apply_load(Duration::from_secs(4), |from, to| from != 0 && to != 0);
