--- a/crates/lilaccrank/src/quota.rs
+++ b/crates/lilaccrank/src/quota.rs
@@ -268,26 +268,26 @@
         }
         let own = self.accounts.iter();
         let own = own.map(|(customer, account)| (customer, account.spent.asked));
-        let mates = self.peers.iter();
-        let mates = mates.flat_map(|(vm, peer)| {
+        let cell_peers = self.peers.iter();
+        let cell_peers = cell_peers.flat_map(|(vm, peer)| {
             let asked = peer.spent.iter();
             asked.map(move |(customer, spent)| (vm, customer, spent.asked))
         });
-        self.demand.tick(own, mates, now);
+        self.demand.tick(own, cell_peers, now);
     }
 
-    /// Sets this daemon's cell, the other daemons of the cell (`mates`) and all live daemons, this
-    /// one included. A daemon that left the cell keeps its share, be it in another cell or
+    /// Sets this daemon's cell, the other daemons of the cell (`cell_peers`) and all live daemons,
+    /// this one included. A daemon that left the cell keeps its share, be it in another cell or
     /// partitioned.
     pub fn set_cell(
         &mut self,
         cell: CellId,
-        mates: &IndexSet<VmId>,
+        cell_peers: &IndexSet<VmId>,
         live: &IndexSet<VmId>,
         now: Instant,
     ) {
-        self.peers.retain(|vm, _| mates.contains(vm));
-        self.demand.set_cell(cell, mates.len(), live, now);
+        self.peers.retain(|vm, _| cell_peers.contains(vm));
+        self.demand.set_cell(cell, cell_peers.len(), live, now);
     }
 
     /// Sets the time between two demand reports of a cell.
--- a/crates/lilaccrank/src/quota/demand.rs
+++ b/crates/lilaccrank/src/quota/demand.rs
@@ -64,7 +64,7 @@
     /// Daemons that are no longer live but announced no shutdown, with the time of their loss.
     lost: IndexMap<VmId, Instant>,
     /// Number of other daemons in the cell.
-    mates: usize,
+    cell_peers: usize,
     /// Demand by daemon of the cell; the key of this daemon is `None`.
     rates_by_daemon: IndexMap<Option<VmId>, IndexMap<CustomerId, Rate>>,
     /// Time between two demand reports of a cell.
@@ -106,7 +106,7 @@
             cells: IndexMap::new(),
             live: IndexSet::new(),
             lost: IndexMap::new(),
-            mates: 0,
+            cell_peers: 0,
             rates_by_daemon: IndexMap::new(),
             report_interval: SAMPLE_INTERVAL,
             last_sample: now,
@@ -123,18 +123,18 @@
     pub(super) fn set_cell(
         &mut self,
         cell: CellId,
-        mates: usize,
+        cell_peers: usize,
         live: &IndexSet<VmId>,
         now: Instant,
     ) {
-        if mates != self.mates || cell != self.cell {
+        if cell_peers != self.cell_peers || cell != self.cell {
             self.cell_changed = now;
         }
         if cell.count != self.cell.count {
             self.cells.clear();
         }
         self.cell = cell;
-        self.mates = mates;
+        self.cell_peers = cell_peers;
         let lost = self.live.difference(live).cloned();
         self.lost.extend(lost.map(|vm| (vm, now)));
         self.lost.retain(|vm, _| !live.contains(vm));
@@ -146,7 +146,7 @@
     pub(super) fn tick<'a>(
         &mut self,
         own: impl Iterator<Item = (&'a CustomerId, u64)>,
-        mates: impl Iterator<Item = (&'a VmId, &'a CustomerId, u64)>,
+        cell_peers: impl Iterator<Item = (&'a VmId, &'a CustomerId, u64)>,
         now: Instant,
     ) {
         let elapsed = now.saturating_duration_since(self.last_sample);
@@ -157,9 +157,10 @@
         self.lost
             .retain(|_, at| now.saturating_duration_since(*at) < SHARE_RETENTION);
         let own = own.map(|(customer, asked)| (None, customer, asked));
-        let mates = mates.map(|(vm, customer, asked)| (Some(vm.clone()), customer, asked));
+        let cell_peers =
+            cell_peers.map(|(vm, customer, asked)| (Some(vm.clone()), customer, asked));
         let mut before = std::mem::take(&mut self.rates_by_daemon);
-        for (vm, customer, asked) in own.chain(mates) {
+        for (vm, customer, asked) in own.chain(cell_peers) {
             let known = before
                 .get_mut(&vm)
                 .and_then(|rates| rates.swap_remove(customer));
@@ -185,7 +186,7 @@
         });
         let demand = CellDemand {
             cell: self.cell,
-            members: u32::try_from(1 + self.mates).unwrap_or(u32::MAX),
+            members: u32::try_from(1 + self.cell_peers).unwrap_or(u32::MAX),
             rates: rates.collect(),
         };
         self.merge(demand.clone(), now);
@@ -250,12 +251,12 @@
 
     /// This cell's share by number of daemons.
     fn even_share(&self) -> f64 {
-        (1 + self.mates) as f64 / self.daemon_count() as f64
+        (1 + self.cell_peers) as f64 / self.daemon_count() as f64
     }
 
     /// Number of daemons that may spend.
     fn daemon_count(&self) -> usize {
-        (self.live.len() + self.lost.len()).max(1 + self.mates)
+        (self.live.len() + self.lost.len()).max(1 + self.cell_peers)
     }
 
     fn is_fresh(&self, report: &CellReport, now: Instant) -> bool {
--- a/crates/lilaccrank/tests/suite/quota.rs
+++ b/crates/lilaccrank/tests/suite/quota.rs
@@ -64,17 +64,17 @@
     fleet.apply_load(Duration::from_secs(3), |_, _| true);
     let before = fleet.passed.len();
     fleet.apply_load(Duration::from_secs(5), |from, to| from != 0 && to != 0);
-    let cut_off = fleet.passed.len() - before;
-    assert!(cut_off > 0);
+    let passed_isolated = fleet.passed.len() - before;
+    assert!(passed_isolated > 0);
     let mut alone = 0;
     for _ in 0..50 {
         fleet.now += Duration::from_millis(100);
         fleet.daemons[0].tick(fleet.now);
         alone += u64::from(fleet.spend(0, Fleet::debit(0, REQUEST_TOKENS))) * REQUEST_TOKENS;
     }
-    let part = QUOTA.per_s * 5.0 / 7.0;
+    let share = QUOTA.per_s * 5.0 / 7.0;
     assert!(
-        (part * 0.9..part * 1.5).contains(&(alone as f64)),
+        (share * 0.9..share * 1.5).contains(&(alone as f64)),
         "{alone}"
     );
 }
@@ -86,13 +86,13 @@
     let mut fleet = Fleet::new(7);
     fleet.apply_load(Duration::from_secs(4), |_, _| true);
     fleet.apply_load(Duration::from_secs(4), |from, to| from != 0 && to != 0);
-    let mut at_once = 0;
+    let mut passed_at_once = 0;
     while fleet.spend(0, Fleet::debit(0, REQUEST_TOKENS)) {
-        at_once += REQUEST_TOKENS;
+        passed_at_once += REQUEST_TOKENS;
     }
     assert!(
-        (at_once as f64) < QUOTA.burst / 7.0 + REQUEST_TOKENS as f64,
-        "{at_once}"
+        (passed_at_once as f64) < QUOTA.burst / 7.0 + REQUEST_TOKENS as f64,
+        "{passed_at_once}"
     );
 }
 
@@ -120,13 +120,13 @@
 #[test]
 fn restarted_daemons_start_with_empty_buckets() {
     let mut fleet = Fleet::new(7);
-    let mut at_once = 0;
+    let mut passed_at_once = 0;
     for at in 0..7 {
         while fleet.spend(at, Fleet::debit(0, REQUEST_TOKENS)) {
-            at_once += REQUEST_TOKENS;
+            passed_at_once += REQUEST_TOKENS;
         }
     }
-    assert_eq!(at_once, 0);
+    assert_eq!(passed_at_once, 0);
 }
 
 /// Tests whether a request passes when the given fraction of the burst is left in the bucket.
--- a/crates/lilaccrank/tests/suite/quota_cells.rs
+++ b/crates/lilaccrank/tests/suite/quota_cells.rs
@@ -46,13 +46,13 @@
     let mut daemons: Vec<Quotas> = (0..count).map(|_| new()).collect();
     for (at, daemon) in daemons.iter_mut().enumerate() {
         let index = at / cell_size;
-        let mates = (index * cell_size..(index + 1) * cell_size).filter(|mate| *mate != at);
-        let mates = mates.map(|mate| format!("vm{mate}")).collect();
+        let cell_peers = (index * cell_size..(index + 1) * cell_size).filter(|peer| *peer != at);
+        let cell_peers = cell_peers.map(|peer| format!("vm{peer}")).collect();
         let id = CellId {
             count: cells,
             index: u16::try_from(index).unwrap(),
         };
-        daemon.set_cell(id, &mates, &vms, now);
+        daemon.set_cell(id, &cell_peers, &vms, now);
     }
     daemons
 }
@@ -123,7 +123,7 @@
     let start = Instant::now();
     let new = || Quotas::new(3, start).with_reserve(reserve);
     let mut daemons = new_in_cells(72, 9, new, start);
-    let (mut now, mut refused, mut asked) = (start, 0, 0);
+    let (mut now, mut refused, mut sent) = (start, 0, 0);
     for step in 0..1_000_usize {
         // Three requests at once, 2.2 times per second, to a pseudorandom daemon.
         if step > 250 && step.is_multiple_of(23) {
@@ -131,7 +131,7 @@
             for tier in [0, 1, 0] {
                 let debit = Fleet::debit(tier, REQUEST_TOKENS);
                 let spent = daemons[at % 72].spend(&CUSTOMER.to_owned(), SMALL, debit, now);
-                asked += 1;
+                sent += 1;
                 refused += usize::from(spent.is_err());
             }
         }
@@ -140,7 +140,7 @@
         });
         now += REPORT_INTERVAL;
     }
-    refused * 100 / asked
+    refused * 100 / sent
 }
 
 // A small customer stays within its quota over any second or two, but its callers send a few
