--- a/crates/lilaccrank/src/quota.rs
+++ b/crates/lilaccrank/src/quota.rs
@@ -52,8 +52,8 @@
 const REPORT_WINDOW: Duration = Duration::from_millis(1_000);
 /// Time without a change after which a customer is skipped when reports are built.
 const IDLE_AFTER: Duration = Duration::from_secs(5);
-/// Fraction of the burst that each tier leaves to every tier above it. With three tiers, the last
-/// one may use a third of the burst and leaves two thirds to the first.
+/// Fraction of the burst that a tier leaves for each tier above it. With three tiers, the last one
+/// may use a third of the burst and leaves two thirds.
 const HEADROOM_FRACTION_PER_TIER: f64 = 1.0 / 3.0;
 /// Maximum fraction of the burst that a tier leaves to the tiers above it.
 const MAX_HEADROOM_FRACTION: f64 = 2.0 / 3.0;
@@ -67,7 +67,7 @@
 /// Fraction of the burst below which the balance is low. Other daemons have to be told at once
 /// then: what they let pass until they hear of it comes out of the rest.
 const LOW_BALANCE_FRACTION: f64 = 0.5;
-/// Number of accounts from which those without recent changes are dropped.
+/// Number of accounts at which those without recent changes are dropped.
 const ACCOUNTS_LIMIT: usize = 50_000;
 
 /// A request exceeds its customer's quota.
--- a/crates/lilaccrank/src/quota/demand.rs
+++ b/crates/lilaccrank/src/quota/demand.rs
@@ -9,8 +9,8 @@
 //! The shares add up to the quota only if all daemons compute them from the same figures. A cell
 //! that used its current demand and the seconds-old reports of the others would take a multiple of
 //! its share at each surge, so a cell uses its own last report, too. A cell that is not heard from
-//! is assumed to have as much demand per daemon as the others. With its last report instead, a
-//! partitioned daemon would see its own demand grow against that of all others.
+//! is assumed to have as much demand per daemon as the others. If the last reports of such cells
+//! were used, a partitioned daemon would see its own demand grow against theirs.
 
 use std::time::{Duration, Instant};
 
--- a/crates/lilaccrank/tests/suite/quota_harness.rs
+++ b/crates/lilaccrank/tests/suite/quota_harness.rs
@@ -5,6 +5,7 @@
 use lilaccrank::document::{Quota, QuotaUnit};
 use lilaccrank::quota::{Debit, Quotas};
 
+/// The customer whose quota is spent.
 pub const CUSTOMER: &str = "depot";
 /// Time between two reports of a daemon.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(20);
@@ -22,11 +23,13 @@
 pub struct Fleet {
     pub daemons: Vec<Quotas>,
     pub now: Instant,
+    /// Time and units of each request that passed.
     pub passed: Vec<(Instant, u64)>,
     pub start: Instant,
 }
 
 impl Fleet {
+    /// Creates `count` daemons, each of which assumes three peers.
     pub fn new(count: usize) -> Self {
         let start = Instant::now();
         Self {
@@ -37,6 +40,7 @@
         }
     }
 
+    /// A request of this tier and size.
     pub fn debit(tier: u8, units: u64) -> Debit {
         Debit { tier, units }
     }
@@ -47,6 +51,7 @@
         self.daemons[at].refund(&CUSTOMER.to_owned(), units, self.now);
     }
 
+    /// Sends a request to the daemon at this index. Returns `true` if it passes.
     pub fn spend(&mut self, at: usize, debit: Debit) -> bool {
         let spent = self.daemons[at].spend(&CUSTOMER.to_owned(), QUOTA, debit, self.now);
         if spent.is_ok() {
