--- a/crates/lilaccrankd/src/peers/load_exchange.rs
+++ b/crates/lilaccrankd/src/peers/load_exchange.rs
@@ -131,7 +131,7 @@
     loop {
         let changed = daemon.load_exchange.changed();
         let _ = monoio::time::timeout(HEARTBEAT, changed).await;
-        daemon.quotas.refresh();
+        daemon.quotas.tick();
         server::apply_rate_limits(&daemon);
         if !is_needed(&daemon) {
             continue;
@@ -141,7 +141,7 @@
             true => server::digests(&daemon),
             false => Vec::new(),
         };
-        let spent = daemon.quotas.take_updates();
+        let spent = daemon.quotas.report();
         tell(&daemon, &socket, pools, spent, &near).await;
         monoio::time::sleep(LEAST + FOR_EACH_PEER * count(&near)).await;
     }
@@ -152,7 +152,7 @@
     loop {
         let cells = u32::from(server::cell(&daemon).id().count);
         let pace = CELL_PACE.max(FOR_EACH_CELL * cells);
-        daemon.quotas.set_exchange_interval(pace);
+        daemon.quotas.set_report_interval(pace);
         let membership = &daemon.membership;
         daemon
             .load_exchange
@@ -300,7 +300,7 @@
     if let Some(demand) = message.cell_demand {
         let rates = demand.rates.into_iter();
         let rates = rates.filter_map(|(id, per_s)| Some((in_force.customer(id)?.clone(), per_s)));
-        daemon.quotas.apply_cell_demand(CellDemand {
+        daemon.quotas.merge_cell_demand(CellDemand {
             cell: demand.cell,
             members: demand.members,
             rates: rates.collect(),
@@ -310,10 +310,10 @@
         let spent = message.spent.into_iter();
         let named = |(id, spent)| Some((in_force.customer(id)?.clone(), spent));
         let spent: Vec<_> = spent.filter_map(named).collect();
-        daemon.quotas.apply_spent(vm, message.incarnation, &spent);
+        daemon.quotas.merge_spent(vm, message.incarnation, &spent);
     }
     if message.ending {
-        daemon.quotas.remove_daemon(vm);
+        daemon.quotas.remove_peer(vm);
     }
     for (digest, told) in message.pools {
         if let Some(pool) = in_force.pool(digest) {
--- a/crates/lilaccrankd/src/request/quotas.rs
+++ b/crates/lilaccrankd/src/request/quotas.rs
@@ -47,8 +47,8 @@
 impl Quotas {
     /// Nothing is known; `assumed` other daemons are taken to be there until they are heard.
     #[must_use]
-    pub fn new(assumed_daemons: usize, reserve: f64) -> Self {
-        let inner = quota::Quotas::new(assumed_daemons, Instant::now());
+    pub fn new(assumed_peers: usize, reserve: f64) -> Self {
+        let inner = quota::Quotas::new(assumed_peers, Instant::now());
         Self {
             inner: RefCell::new(inner.with_reserve(reserve)),
         }
@@ -67,8 +67,8 @@
         let tier = req.tier;
         let units = units(&quota, req.facts);
         let mut inner = self.inner.borrow_mut();
-        let wish = Wish { tier, units };
-        let spent = inner.spend(&customer.id, quota, wish, Instant::now());
+        let debit = Wish { tier, units };
+        let spent = inner.spend(&customer.id, quota, debit, Instant::now());
         let is_nearly_exhausted = spent.map_err(|e| {
             log::info!(
                 customer = customer.id,
@@ -102,7 +102,7 @@
     }
 
     /// Has to be called often, see [`quota::Quotas::look`].
-    pub fn refresh(&self) {
+    pub fn tick(&self) {
         self.inner.borrow_mut().look(Instant::now());
     }
 
@@ -113,13 +113,13 @@
     }
 
     /// Sets the time between two words of another cell.
-    pub fn set_exchange_interval(&self, interval: Duration) {
-        self.inner.borrow_mut().set_pace(interval);
+    pub fn set_report_interval(&self, report_interval: Duration) {
+        self.inner.borrow_mut().set_pace(report_interval);
     }
 
     /// What the other daemons of the cell are to know by now.
     #[must_use]
-    pub fn take_updates(&self) -> Vec<(CustomerId, Spent)> {
+    pub fn report(&self) -> Vec<(CustomerId, Spent)> {
         self.inner.borrow_mut().news(Instant::now())
     }
 
@@ -130,18 +130,18 @@
     }
 
     /// Takes in what is asked of a cell.
-    pub fn apply_cell_demand(&self, demand: CellDemand<CustomerId>) {
+    pub fn merge_cell_demand(&self, demand: CellDemand<CustomerId>) {
         self.inner.borrow_mut().heard_cell(demand, Instant::now());
     }
 
     /// Takes in what another daemon of the cell let pass.
-    pub fn apply_spent(&self, vm: &VmId, incarnation: Incarnation, spent: &[(CustomerId, Spent)]) {
+    pub fn merge_spent(&self, vm: &VmId, incarnation: Incarnation, spent: &[(CustomerId, Spent)]) {
         let mut inner = self.inner.borrow_mut();
         inner.heard(vm, incarnation, spent, Instant::now());
     }
 
     /// Another daemon ends.
-    pub fn remove_daemon(&self, vm: &VmId) {
+    pub fn remove_peer(&self, vm: &VmId) {
         self.inner.borrow_mut().left(vm);
     }
 }
