--- a/crates/lilaccrankd/src/callers/answer_builder.rs
+++ b/crates/lilaccrankd/src/callers/answer_builder.rs
@@ -29,7 +29,7 @@
 pub struct AnswerBuilder {
     choices: Choices,
     first_event: Option<Value>,
-    limit: usize,
+    max_event_bytes: usize,
     prefill_tokens: Option<u32>,
     answer_format: AnswerFormat,
     stream: bool,
@@ -38,14 +38,14 @@
 }
 
 impl AnswerBuilder {
-    /// Creates an empty answer. With `stream`, the caller gets events, else one JSON body; `limit`
+    /// Creates an empty answer. With `stream`, the caller gets events, else one JSON body; `max_event_bytes`
     /// bounds the bytes of all events.
     #[must_use]
-    pub fn new(answer_format: AnswerFormat, stream: bool, limit: usize) -> Self {
+    pub fn new(answer_format: AnswerFormat, stream: bool, max_event_bytes: usize) -> Self {
         Self {
             choices: Choices::new(answer_format, !stream),
             first_event: None,
-            limit,
+            max_event_bytes,
             prefill_tokens: None,
             answer_format,
             stream,
@@ -73,7 +73,7 @@
         // The answer stays in memory for repeated requests. Without a limit, an engine that never
         // stops would use up the memory, and the requests of all other callers would fail.
         self.event_bytes += data.len();
-        if self.event_bytes > self.limit {
+        if self.event_bytes > self.max_event_bytes {
             return Err(broken_answer("the answer is over the limit"));
         }
         let event: Value =
--- a/crates/lilaccrankd/src/request/lifecycle.rs
+++ b/crates/lilaccrankd/src/request/lifecycle.rs
@@ -280,7 +280,7 @@
             EventKind::Asked,
             self.subject(self.route.pool.clone(), None),
         );
-        let partial = self.partial(daemon, &history.delivered);
+        let partial = self.partial_answer(daemon, &history.delivered);
         let ask = self.ask(daemon, &history.prior, partial);
         let interrupted = self.interrupted(daemon, buffer);
         let asking = client::ask(daemon, &self.route.pool, ask);
@@ -307,7 +307,7 @@
     }
 
     /// Describes the part of an interrupted answer that the caller has; `None` if it has no tokens.
-    fn partial(&self, daemon: &Daemon, delivered: &Passed) -> Option<PartialAnswer> {
+    fn partial_answer(&self, daemon: &Daemon, delivered: &Passed) -> Option<PartialAnswer> {
         let tokens_in_event = daemon.tokens_in_event(&self.route.pool);
         let tokens = delivered.events.saturating_mul(tokens_in_event);
         (tokens > 0).then_some(PartialAnswer {
--- a/crates/lilaccrankd/src/request/send.rs
+++ b/crates/lilaccrankd/src/request/send.rs
@@ -240,10 +240,10 @@
 
 impl forward::Observer for SendObserver<'_> {
     fn rate_limit(&self, limit: RateLimit) {
-        let cell = &self.daemon.load_exchange;
+        let exchange = &self.daemon.load_exchange;
         self.daemon
             .advisories
-            .rate_limited(&self.grant.target, limit, cell);
+            .rate_limited(&self.grant.target, limit, exchange);
     }
 
     fn event(&self, first: bool, since_sent: Duration) {
