--- a/crates/lilaccrankd/src/callers/answer_builder.rs
+++ b/crates/lilaccrankd/src/callers/answer_builder.rs
@@ -21,7 +21,7 @@
     Done,
     /// Anything else, such as the token usage.
     Other,
-    /// Generated tokens.
+    /// A generated token.
     Token,
 }
 
@@ -38,8 +38,8 @@
 }
 
 impl AnswerBuilder {
-    /// Creates an empty answer. With `stream`, the caller gets events, else one JSON body; `max_event_bytes`
-    /// bounds the bytes of all events.
+    /// Creates an empty answer. With `stream`, the caller gets events, else one JSON body;
+    /// `max_event_bytes` bounds the size of all events together.
     #[must_use]
     pub fn new(answer_format: AnswerFormat, stream: bool, max_event_bytes: usize) -> Self {
         Self {
--- a/crates/lilaccrankd/src/callers/refusal.rs
+++ b/crates/lilaccrankd/src/callers/refusal.rs
@@ -31,7 +31,7 @@
     pub connection_lost: bool,
     /// Kind of the error.
     pub kind: ErrorKind,
-    /// Explanation for the caller.
+    /// What went wrong and, where possible, what the caller can do about it.
     pub message: String,
     /// Whether a target may have run the request.
     pub ran: Ran,
--- a/crates/lilaccrankd/src/request/key_state.rs
+++ b/crates/lilaccrankd/src/request/key_state.rs
@@ -33,7 +33,7 @@
     Claimed(ClaimIn<Claimed>),
     /// The request has no key.
     Keyless,
-    /// Marked as dispatching. The request may be sent to a target.
+    /// Marked. The request may be dispatched to a target, once.
     Marked(ClaimIn<Marked>),
 }
 
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// The key could not be marked; nothing may be spilled.
+    /// The key could not be marked; the request may not be spilled.
     pub async fn mark_handed_on(self) -> Result<Self> {
         match self {
             Self::Claimed(claim) => match claim.mark_handed_on().await {
--- a/crates/lilaccrankd/src/request/quotas.rs
+++ b/crates/lilaccrankd/src/request/quotas.rs
@@ -130,7 +130,7 @@
         self.inner.borrow_mut().cell_demand(Instant::now())
     }
 
-    /// Merges the demand of another cell.
+    /// Merges the reported demand of a cell.
     pub fn merge_cell_demand(&self, demand: CellDemand<CustomerId>) {
         self.inner.borrow_mut().heard_cell(demand, Instant::now());
     }
