--- a/crates/lilaccrankd/src/request/quotas.rs
+++ b/crates/lilaccrankd/src/request/quotas.rs
@@ -9,7 +9,7 @@
 use lilaccrank::document::{Customer, Quota, QuotaUnit};
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::ids::{CustomerId, Incarnation, Tier, VmId};
-use lilaccrank::quota::{self, CellDemand, Spent, Wish};
+use lilaccrank::quota::{self, CellDemand, Debit, Spent};
 use lilaccrank::request::Facts;
 
 use crate::callers::refusal::{Refusal, Result};
@@ -68,20 +68,20 @@
         let tier = req.tier;
         let units = units(&quota, req.facts);
         let mut inner = self.inner.borrow_mut();
-        let debit = Wish { tier, units };
+        let debit = Debit { tier, units };
         let spent = inner.spend(&customer.id, quota, debit, Instant::now());
         let is_nearly_exhausted = spent.map_err(|e| {
             log::info!(
                 customer = customer.id,
-                left:% = e.left.round(),
+                left:% = e.balance.round(),
                 max_tokens = req.facts.max_tokens,
-                part:% = e.part,
+                part:% = e.share,
                 prompt_tokens = req.facts.prompt_tokens,
                 request = req.request,
                 retry_ms = e.retry_after.as_millis() as u64,
                 tier,
                 units,
-                wanted:% = e.wanted.round();
+                wanted:% = e.required.round();
                 "beyond the quota"
             );
             // The jitter keeps requests that were refused together from returning together.
@@ -102,9 +102,9 @@
         inner.refund(&charge.customer, charge.units, Instant::now());
     }
 
-    /// Must be called regularly, see [`quota::Quotas::look`].
+    /// Must be called regularly, see [`quota::Quotas::tick`].
     pub fn tick(&self) {
-        self.inner.borrow_mut().look(Instant::now());
+        self.inner.borrow_mut().tick(Instant::now());
     }
 
     /// Sets this daemon's cell and the daemons that are known to be live.
@@ -115,13 +115,13 @@
 
     /// Sets the time between two reports of another cell.
     pub fn set_report_interval(&self, report_interval: Duration) {
-        self.inner.borrow_mut().set_pace(report_interval);
+        self.inner.borrow_mut().set_report_interval(report_interval);
     }
 
     /// Returns the spending that is due to be reported to the other daemons of the cell.
     #[must_use]
     pub fn report(&self) -> Vec<(CustomerId, Spent)> {
-        self.inner.borrow_mut().news(Instant::now())
+        self.inner.borrow_mut().report(Instant::now())
     }
 
     /// Returns the demand of this cell, for all daemons.
@@ -132,18 +132,20 @@
 
     /// Merges the reported demand of a cell.
     pub fn merge_cell_demand(&self, demand: CellDemand<CustomerId>) {
-        self.inner.borrow_mut().heard_cell(demand, Instant::now());
+        self.inner
+            .borrow_mut()
+            .merge_cell_demand(demand, Instant::now());
     }
 
     /// Merges the spending that another daemon of the cell reported.
     pub fn merge_spent(&self, vm: &VmId, incarnation: Incarnation, spent: &[(CustomerId, Spent)]) {
         let mut inner = self.inner.borrow_mut();
-        inner.heard(vm, incarnation, spent, Instant::now());
+        inner.merge_spent(vm, incarnation, spent, Instant::now());
     }
 
     /// Removes a daemon that leaves.
     pub fn remove_peer(&self, vm: &VmId) {
-        self.inner.borrow_mut().left(vm);
+        self.inner.borrow_mut().remove_peer(vm);
     }
 }
 
