--- /dev/null
+++ b/crates/lilaccrankd/src/request/answer_buffer.rs
@@ -0,0 +1,200 @@
+//! Buffer of one answer, which the task that reads the target writes and callers read.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use event_listener::Event;
+use hyper::HeaderMap;
+use hyper::StatusCode;
+
+use crate::callers::refusal::Refusal;
+
+/// Status and headers of an answer, as the caller gets them.
+#[derive(Clone, Debug)]
+pub struct Head {
+    /// Headers without those of the target's connection.
+    pub headers: HeaderMap,
+    /// HTTP status.
+    pub status: StatusCode,
+}
+
+/// How an answer ended.
+#[derive(Clone, Debug)]
+pub enum End {
+    /// The answer broke off or never began, for this reason.
+    Failed(Refusal),
+    /// The answer is complete.
+    Complete,
+}
+
+/// Times at which the chunks of an answer arrived.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct ChunkTiming {
+    /// Arrival of the first chunk.
+    pub first_chunk: Option<Instant>,
+    last_chunk: Option<Instant>,
+    /// Longest time between two chunks.
+    pub longest_pause: Duration,
+    /// Number of chunks so far. In a stream each event is one chunk.
+    pub chunk_count: u32,
+}
+
+impl ChunkTiming {
+    fn record(&mut self, now: Instant) {
+        let since = self
+            .last_chunk
+            .replace(now)
+            .map(|last_chunk| now - last_chunk);
+        self.longest_pause = self.longest_pause.max(since.unwrap_or_default());
+        self.first_chunk.get_or_insert(now);
+        self.chunk_count = self.chunk_count.saturating_add(1);
+    }
+}
+
+/// Buffer of one answer. It keeps all chunks, so that a caller that repeats its request can read
+/// the answer from the start. The writer bounds its size.
+#[derive(Default)]
+pub struct AnswerBuffer {
+    changed: Event,
+    chunks: RefCell<Vec<Bytes>>,
+    end: RefCell<Option<End>>,
+    head: RefCell<Option<Head>>,
+    timing: Cell<ChunkTiming>,
+    readers: Cell<usize>,
+    size: Cell<usize>,
+}
+
+impl AnswerBuffer {
+    /// Sets the head. Later calls have no effect.
+    pub fn set_head(&self, head: Head) {
+        self.head.borrow_mut().get_or_insert(head);
+        self.changed.notify(usize::MAX);
+    }
+
+    /// Appends a chunk.
+    pub fn push(&self, chunk: Bytes) {
+        self.size.set(self.size.get() + chunk.len());
+        self.chunks.borrow_mut().push(chunk);
+        let mut timing = self.timing.get();
+        timing.record(Instant::now());
+        self.timing.set(timing);
+        self.changed.notify(usize::MAX);
+    }
+
+    /// Ends the answer. Later calls have no effect.
+    pub fn finish(&self, end: End) {
+        self.end.borrow_mut().get_or_insert(end);
+        self.changed.notify(usize::MAX);
+    }
+
+    /// Times at which the chunks arrived.
+    #[must_use]
+    pub fn timing(&self) -> ChunkTiming {
+        self.timing.get()
+    }
+
+    /// How the answer ended; `None` while it is in progress.
+    #[must_use]
+    pub fn end(&self) -> Option<End> {
+        self.end.borrow().clone()
+    }
+
+    /// Size of all chunks in bytes.
+    #[must_use]
+    pub fn size(&self) -> usize {
+        self.size.get()
+    }
+
+    /// Returns `true` if the head is set. From then on, a failure can only be signalled by aborting
+    /// the body.
+    #[must_use]
+    pub fn has_head(&self) -> bool {
+        self.head.borrow().is_some()
+    }
+
+    /// Completes once the answer has no reader.
+    pub async fn wait_for_no_reader(&self) {
+        while self.readers.get() > 0 {
+            let listener = self.changed.listen();
+            if self.readers.get() > 0 {
+                listener.await;
+            }
+        }
+    }
+
+    /// Completes once the answer has a reader.
+    pub async fn wait_for_reader(&self) {
+        while self.readers.get() == 0 {
+            let listener = self.changed.listen();
+            if self.readers.get() == 0 {
+                listener.await;
+            }
+        }
+    }
+
+    /// Adds a reader, which starts at the first chunk.
+    #[must_use]
+    pub fn reader(self: &Rc<Self>) -> Reader {
+        self.readers.set(self.readers.get() + 1);
+        self.changed.notify(usize::MAX);
+        Reader {
+            next: 0,
+            buffer: Rc::clone(self),
+        }
+    }
+}
+
+/// Reads an answer at the speed of its caller. It counts as a reader until it is dropped.
+pub struct Reader {
+    next: usize,
+    buffer: Rc<AnswerBuffer>,
+}
+
+impl Reader {
+    /// Waits for the head.
+    ///
+    /// # Errors
+    ///
+    /// The refusal, if the answer failed before its head.
+    pub async fn head(&self) -> Result<Head, Refusal> {
+        loop {
+            let listener = self.buffer.changed.listen();
+            if let Some(head) = self.buffer.head.borrow().clone() {
+                return Ok(head);
+            }
+            if let Some(End::Failed(refusal)) = self.buffer.end() {
+                return Err(refusal);
+            }
+            listener.await;
+        }
+    }
+
+    /// Waits for the next chunk; `None` after the last one of a complete answer.
+    ///
+    /// # Errors
+    ///
+    /// The refusal, if the answer broke off.
+    pub async fn next(&mut self) -> Result<Option<Bytes>, Refusal> {
+        loop {
+            let listener = self.buffer.changed.listen();
+            if let Some(chunk) = self.buffer.chunks.borrow().get(self.next) {
+                self.next += 1;
+                return Ok(Some(chunk.clone()));
+            }
+            match self.buffer.end() {
+                Some(End::Failed(refusal)) => return Err(refusal),
+                Some(End::Complete) => return Ok(None),
+                None => listener.await,
+            }
+        }
+    }
+}
+
+impl Drop for Reader {
+    fn drop(&mut self) {
+        self.buffer.readers.set(self.buffer.readers.get() - 1);
+        self.buffer.changed.notify(usize::MAX);
+    }
+}
--- a/crates/lilaccrankd/src/request/quarantine.rs
+++ b/crates/lilaccrankd/src/request/quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantine of queries of death.
+//! Quarantine of queries of death: requests whose content crashes targets.
 
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::ids::ContentDigest;
@@ -6,42 +6,46 @@
 
 use crate::callers::refusal::{Refusal, Result};
 use crate::daemon::Daemon;
-use crate::request::life::Routed;
+use crate::request::lifecycle::RoutedRequest;
 use crate::targets::forward::Passed;
 
-impl Routed {
-    /// Digest of the caller's request.
+impl RoutedRequest {
+    /// Digest of the content of the request, computed on first use.
     #[must_use]
-    pub fn content(&self) -> ContentDigest {
-        *self.content.get_or_init(|| self.caller.content())
+    pub fn content_digest(&self) -> ContentDigest {
+        *self
+            .content_digest
+            .get_or_init(|| self.caller.content_digest())
     }
 
-    /// Whether the request may be sent.
+    /// Checks that the content of the request is not quarantined.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Quarantined`] if too many targets crashed under the same content.
+    /// [`ErrorKind::Quarantined`] if too many targets crashed while they ran the same content.
     pub fn check_quarantine(&self, daemon: &Daemon) -> Result<()> {
-        let Some(left) = daemon.advisories.quarantine(|| self.content()) else {
+        let Some(remaining) = daemon.advisories.quarantine(|| self.content_digest()) else {
             return Ok(());
         };
-        let content = self.content();
-        let message = format!("targets crashed under the same request, {content:016x}");
-        Err(Refusal::new(ErrorKind::Quarantined, message).retry_after(left))
+        let content_digest = self.content_digest();
+        let message = format!("targets crashed under the same request, {content_digest:016x}");
+        Err(Refusal::new(ErrorKind::Quarantined, message).retry_after(remaining))
     }
 
-    /// The target's connection ended before its answer did.
-    pub fn note_crash(&self, daemon: &Daemon, target: &TargetLife) {
-        let cell = &daemon.load_exchange;
-        daemon.advisories.crashed(self.content(), target, cell);
+    /// Records that the connection to `target` ended before the answer did.
+    pub fn record_crash(&self, daemon: &Daemon, target: &TargetLife) {
+        let exchange = &daemon.load_exchange;
+        daemon
+            .advisories
+            .crashed(self.content_digest(), target, exchange);
     }
 
-    /// A target answered.
-    pub fn note_completed(&self, daemon: &Daemon, passed: &Passed) {
-        // A crash looks like the end of such an answer.
-        if !passed.ended_with_connection {
-            let cell = &daemon.load_exchange;
-            daemon.advisories.completed(self.content(), cell);
+    /// Records that a target completed the request.
+    pub fn record_completion(&self, daemon: &Daemon, delivered: &Passed) {
+        // An answer that is delimited by its connection also ends this way if the target crashes.
+        if !delivered.ended_with_connection {
+            let exchange = &daemon.load_exchange;
+            daemon.advisories.completed(self.content_digest(), exchange);
         }
     }
 }
--- /dev/null
+++ b/crates/lilaccrankd/src/request/send_history.rs
@@ -0,0 +1,151 @@
+//! History of the sends of one request: which targets had it, and what its caller has received.
+
+use std::time::Instant;
+
+use bytes::Bytes;
+use lilaccrank::attempts::{Allowed, Attempts, Failure};
+use lilaccrank::error_kind::Ran;
+use lilaccrank::target_life::TargetLife;
+
+use crate::callers::refusal::{Refusal, Result};
+use crate::daemon::Daemon;
+use crate::request::answer_buffer::{AnswerBuffer, Head};
+use crate::request::lifecycle::RoutedRequest;
+use crate::targets::forward::{Failed, Passed};
+
+/// Earlier sends, as far as they matter for the next ask for a target.
+#[derive(Clone, Debug)]
+pub struct PriorSends {
+    /// Targets that must not get the request again.
+    pub exclusions: Vec<TargetLife>,
+    /// Time since which the caller has awaited the next part of its answer.
+    pub waiting_since: Instant,
+}
+
+/// History of the sends of one request.
+pub struct SendHistory {
+    /// Error answer of a target, which the caller gets if no later send does better.
+    answer: Option<(Head, Bytes)>,
+    attempts: Attempts,
+    /// Earlier sends, for the next ask.
+    pub prior: PriorSends,
+    /// The part of the answer that the caller has received.
+    pub delivered: Passed,
+    /// Refusal of the last failed send.
+    refusal: Option<Refusal>,
+}
+
+impl SendHistory {
+    /// Creates an empty history for a request that was not sent yet.
+    #[must_use]
+    pub fn new(routed: &RoutedRequest) -> Self {
+        let terms = &routed.route.terms;
+        let allowed = Allowed {
+            idempotent: routed.is_idempotent(),
+            resumable: terms.resumable,
+            runs: terms.attempts.unwrap_or(1),
+        };
+        Self {
+            answer: None,
+            attempts: Attempts::new(allowed),
+            prior: PriorSends {
+                exclusions: Vec::new(),
+                waiting_since: routed.arrived,
+            },
+            delivered: Passed::default(),
+            refusal: None,
+        }
+    }
+
+    /// Returns `true` if nothing was sent yet.
+    #[must_use]
+    pub fn is_unsent(&self) -> bool {
+        !self.attempts.is_repeat()
+    }
+
+    /// Returns `true` if another target may resume an answer that the caller has in part.
+    #[must_use]
+    pub fn can_resume(&self) -> bool {
+        self.attempts.clone().failed(Failure::BrokenOff)
+    }
+
+    /// Records that another target resumes the answer of `target`, which is still running the
+    /// request.
+    pub fn record_migration(&mut self, target: TargetLife) {
+        self.prior.exclusions.push(target);
+        self.prior.waiting_since = Instant::now();
+        self.attempts.failed(Failure::BrokenOff);
+    }
+
+    /// Records a failed send. Returns the result of the request, or `None` if it is to be sent
+    /// again.
+    pub fn record_failure(
+        &mut self,
+        daemon: &Daemon,
+        routed: &RoutedRequest,
+        target: TargetLife,
+        failed: Failed,
+        buffer: &AnswerBuffer,
+    ) -> Option<Result<()>> {
+        self.prior.exclusions.push(target.clone());
+        if failed.refusal.connection_lost {
+            routed.record_crash(daemon, &target);
+        }
+        if failed.how == Failure::BrokenOff {
+            // If the objective still counted from the arrival of the request, it would be over by
+            // now. A stream that finds all targets full would then be refused, and what its caller
+            // has read would be lost.
+            self.prior.waiting_since = Instant::now();
+        }
+        if failed.answer.is_some() {
+            self.answer = failed.answer;
+        }
+        let will_retry = self.attempts.failed(failed.how)
+            && !failed.refusal.kind.is_from_outside()
+            && (failed.how == Failure::Unsent
+                || daemon.second_sends.try_take(daemon, &routed.route.pool));
+        log::info!(
+            again = will_retry,
+            connection_lost = failed.refusal.connection_lost,
+            content:% = format_args!("{:016x}", routed.content_digest()),
+            how:? = failed.how,
+            kind:% = failed.refusal.kind,
+            request = routed.log_id(),
+            since_arrival_ms = routed.elapsed_ms(),
+            target = target.id,
+            why = failed.refusal.message;
+            "a send failed"
+        );
+        if !will_retry {
+            return Some(self.final_result(failed.refusal, buffer));
+        }
+        self.refusal = Some(failed.refusal);
+        None
+    }
+
+    /// Result of a request without a complete answer from a target: the error answer of a target,
+    /// if there is one and the caller has received nothing, or a refusal that holds for all sends
+    /// together.
+    ///
+    /// # Errors
+    ///
+    /// The refusal.
+    pub fn final_result(&mut self, refusal: Refusal, buffer: &AnswerBuffer) -> Result<()> {
+        if let Some((head, body)) = self.answer.take()
+            && !buffer.has_head()
+        {
+            buffer.set_head(head);
+            buffer.push(body);
+            return Ok(());
+        }
+        if !self.attempts.may_have_run() {
+            return Err(refusal);
+        }
+        // An earlier send may have run, even though no target takes the request now.
+        let last = match self.refusal.take() {
+            Some(earlier) if refusal.ran == Ran::No => earlier,
+            _ => refusal,
+        };
+        Err(last.ran(Ran::Maybe))
+    }
+}
