--- a/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
@@ -112,7 +112,7 @@
 
 /// Passes a peer's digest to the dispatcher.
 pub fn deliver_digest(harness: &Harness, from: &str, digest: Digest) {
-    harness.dispatcher.take_digest(&from.to_owned(), digest);
+    harness.dispatcher.apply_digest(&from.to_owned(), digest);
 }
 
 /// Returns an ask with a first-token objective of 1 s and a deadline of 10 s.
--- a/crates/lilaccrank/tests/suite/dispatch_sharing.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_sharing.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use lilaccrank::dispatch::message::{Ask, Outcome, ReportKind};
-use lilaccrank::dispatch::sharing::{Digest, Sample, Seen};
+use lilaccrank::dispatch::sharing::{Digest, Observation, Sample};
 
 use crate::dispatch_fixtures::{
     FIRST_TOKEN, ask, ask_with_objective, deliver_digest, digest, empty_digest, granted, harness,
@@ -54,7 +54,7 @@
 fn peer_samples_are_applied() {
     let mut harness = harness(&[8, 8]);
     let slow = Sample {
-        seen: Seen::Step {
+        observation: Observation::Step {
             batch: 1,
             step: Duration::from_millis(100),
         },
@@ -81,7 +81,7 @@
 fn peer_failures_count() {
     let mut harness = harness(&[8, 8]);
     let failed = Sample {
-        seen: Seen::Failed,
+        observation: Observation::Failed,
         target: target_digest("t0"),
     };
     for peer in ["vm2", "vm3", "vm4"] {
@@ -110,7 +110,10 @@
     let digest = harness.dispatcher.digest();
     let loads: Vec<_> = digest.loads.iter().map(|l| (l.target, l.running)).collect();
     assert_eq!(loads, [(target_digest("t0"), 1)]);
-    assert!(matches!(digest.samples[0].seen, Seen::FirstToken { .. }));
+    assert!(matches!(
+        digest.samples[0].observation,
+        Observation::FirstToken { .. }
+    ));
     assert_eq!(harness.dispatcher.digest().samples, []);
     let kind = ReportKind::Ended {
         decoded: 5,
@@ -176,11 +179,11 @@
     for request in ["a", "b", "c", "d", "e"] {
         harness.ask(ask_with_objective(request, 0));
         harness.verdicts();
-        urgent.push(harness.dispatcher.is_news_urgent());
+        urgent.push(harness.dispatcher.has_urgent_changes());
         let _ = harness.dispatcher.digest();
     }
     // From the second request on at most two slots are free; "e" waits.
     assert_eq!(urgent, [false, true, true, true, true]);
     harness.end("a", "t0");
-    assert!(harness.dispatcher.is_news_urgent());
+    assert!(harness.dispatcher.has_urgent_changes());
 }
--- a/crates/lilaccrankd/src/callers.rs
+++ b/crates/lilaccrankd/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' surface.
+//! HTTP interface for callers.
 
 use std::rc::Rc;
 
@@ -11,15 +11,15 @@
 use crate::callers::refusal::Result;
 use crate::daemon::Daemon;
 
-pub mod answer_shape;
-pub mod answers;
+pub mod answer_builder;
+pub mod answer_cache;
 pub mod attach;
 pub mod auth;
 pub mod caller_request;
 pub mod choices;
 pub mod end_to_end;
 pub mod entry;
-pub mod own_protocol;
+pub mod native_protocol;
 pub mod protocol;
 pub mod refusal;
 
@@ -46,7 +46,7 @@
     Ok(json_response(&json!({"data": list, "object": "list"})))
 }
 
-/// A JSON answer.
+/// Builds a response with a JSON body.
 pub fn json_response(value: &serde_json::Value) -> Response<Body> {
     let mut res = Response::new(body::full(value.to_string()));
     res.headers_mut()
--- /dev/null
+++ b/crates/lilaccrankd/src/request/pool_retry_budgets.rs
@@ -0,0 +1,76 @@
+//! Retry budgets: bound the requests that are sent to a second target, as a share of all requests.
+//!
+//! Each daemon spends what its own requests earn and its part of a shared reserve, so that all
+//! daemons together stay within the bounds without coordination.
+//!
+//! The number of parts follows the number of members. With a fixed ten parts, seventy daemons would
+//! save up seven times the reserve and spend it within seconds on a pool that refuses requests.
+
+use std::cell::RefCell;
+use std::time::Instant;
+
+use lilaccrank::ids::PoolId;
+use lilaccrank::retry_budget::{RetryBudgets, Settings};
+
+use crate::daemon::Daemon;
+use crate::settings::Retries;
+
+/// Parts of the reserve for each member. A restarted daemon starts with a full part again; the
+/// spare tenth covers the restart of one daemon in ten.
+const PARTS_PER_MEMBER: f64 = 1.1;
+
+/// Retry budgets of this daemon, by pool.
+pub struct PoolRetryBudgets {
+    budgets: RefCell<RetryBudgets>,
+    /// Least number of parts, since some members may not be known yet.
+    min_parts: f64,
+    /// Reserve of all daemons together.
+    reserve: f64,
+}
+
+impl PoolRetryBudgets {
+    /// Creates budgets from the settings.
+    #[must_use]
+    pub fn new(cfg: &Retries) -> Self {
+        let min_parts = f64::from(cfg.daemons.max(1));
+        let settings = Settings {
+            per_second: 0.0,
+            reserve: cfg.reserve / min_parts,
+            share: cfg.share,
+        };
+        Self {
+            budgets: RefCell::new(RetryBudgets::new(settings)),
+            min_parts,
+            reserve: cfg.reserve,
+        }
+    }
+
+    /// Divides the reserve for `members` members.
+    pub fn set_member_count(&self, members: usize) {
+        let parts = (members as f64 * PARTS_PER_MEMBER).max(self.min_parts);
+        self.budgets.borrow_mut().set_reserve(self.reserve / parts);
+    }
+
+    /// Counts a first send, which earns a share of a retry.
+    pub fn record_request(&self, pool: &PoolId) {
+        let mut budgets = self.budgets.borrow_mut();
+        budgets.get(pool, Instant::now()).record_call();
+    }
+
+    /// Returns `true` if the budget of the pool allows a retry.
+    pub fn has_budget(&self, pool: &PoolId) -> bool {
+        let now = Instant::now();
+        self.budgets.borrow_mut().get(pool, now).has_retry(now)
+    }
+
+    /// Takes a retry from the budget of the pool. Returns `false` and counts the denial if there is
+    /// none.
+    pub fn try_take(&self, daemon: &Daemon, pool: &PoolId) -> bool {
+        let now = Instant::now();
+        let allowed = self.budgets.borrow_mut().get(pool, now).try_retry(now);
+        if !allowed {
+            daemon.metrics.second_sends_denied.inc();
+        }
+        allowed
+    }
+}
