--- a/crates/lilaccrank/tests/suite/dispatch_faults.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_faults.rs
@@ -10,7 +10,7 @@
 use lilaccrank::target_life::TargetLife;
 
 use crate::dispatch_fixtures::{
-    CONCURRENCY_LIMIT, FIRST_TOKEN, SILENCE_FLOOR, ask, ask_with_limit, ask_with_long_prompt,
+    CONCURRENCY_LIMIT, FIRST_TOKEN, MIN_HANG_TIMEOUT, ask, ask_with_limit, ask_with_long_prompt,
     entry, granted, harness, refused, waiting,
 };
 use crate::dispatch_harness::{Harness, LOWEST_TIER};
@@ -200,9 +200,11 @@
 // grants nothing and sheds only from the lowest tier.
 #[test]
 fn a_new_dispatcher_waits_for_the_entries() {
-    let mut harness = Harness::new(&[1], 2, SILENCE_FLOOR);
+    let mut harness = Harness::new(&[1], 2, MIN_HANG_TIMEOUT);
     let expected = vec![entry("vm2"), entry("vm3")];
-    harness.dispatcher.begin_handover(expected, SILENCE_FLOOR);
+    harness
+        .dispatcher
+        .begin_handover(expected, MIN_HANG_TIMEOUT);
     for (request, tier) in [
         ("bulk", 2),
         ("more", 1),
@@ -236,9 +238,11 @@
 // that is.
 #[test]
 fn queue_in_a_handover_is_capped_at_twice_its_limit() {
-    let mut harness = Harness::new(&[1], 1, SILENCE_FLOOR);
+    let mut harness = Harness::new(&[1], 1, MIN_HANG_TIMEOUT);
     let expected = vec![entry("vm3")];
-    harness.dispatcher.begin_handover(expected, SILENCE_FLOOR);
+    harness
+        .dispatcher
+        .begin_handover(expected, MIN_HANG_TIMEOUT);
     for (request, tier) in [("bulk", 2), ("more", 1), ("urgent", 0)] {
         harness.ask(ask(request, tier));
     }
@@ -251,11 +255,11 @@
     let mut harness = harness(&[1]);
     harness
         .dispatcher
-        .begin_handover(vec![entry("vm9")], SILENCE_FLOOR);
+        .begin_handover(vec![entry("vm9")], MIN_HANG_TIMEOUT);
     harness.ask(ask("r", 0));
-    harness.advance(SILENCE_FLOOR / 2);
+    harness.advance(MIN_HANG_TIMEOUT / 2);
     assert_eq!(harness.verdicts(), []);
-    harness.advance(SILENCE_FLOOR);
+    harness.advance(MIN_HANG_TIMEOUT);
     assert_eq!(harness.grants(), granted("r", "t0"));
 }
 
@@ -266,7 +270,7 @@
     let mut harness = harness(&[1]);
     harness
         .dispatcher
-        .begin_handover(vec![entry("vm2")], SILENCE_FLOOR);
+        .begin_handover(vec![entry("vm2")], MIN_HANG_TIMEOUT);
     harness.ask(ask("r", 0));
     let running = Running {
         ask: ask("r", 0),
--- a/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
@@ -17,7 +17,7 @@
     rate_per_s: None,
 };
 /// Shortest silence after which a target counts as hung.
-pub const SILENCE_FLOOR: Duration = Duration::from_secs(2);
+pub const MIN_HANG_TIMEOUT: Duration = Duration::from_secs(2);
 /// Report of a first token after 250 ms.
 pub const FIRST_TOKEN: ReportKind = ReportKind::FirstToken {
     after: Duration::from_millis(250),
@@ -27,7 +27,7 @@
 
 /// Returns a harness with one target for each slot count.
 pub fn harness(slots: &[u32]) -> Harness {
-    Harness::new(slots, WAITING_LIMIT, SILENCE_FLOOR)
+    Harness::new(slots, WAITING_LIMIT, MIN_HANG_TIMEOUT)
 }
 
 /// Returns an ask with a short prompt.
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -21,7 +21,7 @@
 /// Prompt length from which a request counts as long.
 const LONG_PROMPT_TOKENS: u32 = 3000;
 /// Longer than any run, because the reference model does not detect hung targets.
-const SILENCE_FLOOR: Duration = Duration::from_secs(3600);
+const MIN_HANG_TIMEOUT: Duration = Duration::from_secs(3600);
 /// Fixed, so that each run generates the same operations.
 const SEED: u64 = 4;
 const WAITING_LIMIT: usize = 8;
@@ -418,7 +418,7 @@
 
 /// Runs the operations on both and returns the first difference.
 fn matches_reference_model(ops: Vec<Op>) -> Result<(), String> {
-    let mut harness = Harness::new(&[1, 3, 8], WAITING_LIMIT, SILENCE_FLOOR);
+    let mut harness = Harness::new(&[1, 3, 8], WAITING_LIMIT, MIN_HANG_TIMEOUT);
     let mut model = ReferenceModel::default();
     for (id, op) in ops.iter().enumerate() {
         apply(&mut harness, &mut model, op, id)?;
--- a/crates/lilaccrank/tests/suite/dispatch_overload.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_overload.rs
@@ -8,8 +8,8 @@
 use lilaccrank::error_kind::ErrorKind;
 
 use crate::dispatch_fixtures::{
-    CONCURRENCY_LIMIT, SILENCE_FLOOR, ask, ask_with_limit, ask_with_long_prompt, granted, harness,
-    refused, with_deadline,
+    CONCURRENCY_LIMIT, MIN_HANG_TIMEOUT, ask, ask_with_limit, ask_with_long_prompt, granted,
+    harness, refused, with_deadline,
 };
 use crate::dispatch_harness::Harness;
 
@@ -18,7 +18,7 @@
     ($name:ident, $low:literal, $new:literal, $refused:literal) => {
         #[test]
         fn $name() {
-            let mut harness = Harness::new(&[1], 2, SILENCE_FLOOR);
+            let mut harness = Harness::new(&[1], 2, MIN_HANG_TIMEOUT);
             for request in ["runs", "first", "second"] {
                 harness.ask(ask(request, $low));
             }
@@ -37,7 +37,7 @@
 // filled it, a small customer's request would be refused.
 #[test]
 fn burst_sheds_only_its_own_customer() {
-    let mut harness = Harness::new(&[1], 10, SILENCE_FLOOR);
+    let mut harness = Harness::new(&[1], 10, MIN_HANG_TIMEOUT);
     for i in 0..11 {
         harness.ask(ask(&format!("large{i}"), 2));
     }
@@ -293,7 +293,7 @@
 // is spread over the time that the pool needs.
 #[test]
 fn retry_after_is_spread_out() {
-    let mut harness = Harness::new(&[1], 1, SILENCE_FLOOR);
+    let mut harness = Harness::new(&[1], 1, MIN_HANG_TIMEOUT);
     for i in 0..101 {
         harness.ask(ask(&format!("r{i}"), 3));
     }
@@ -306,7 +306,7 @@
     delays.sort();
     assert!(delays[98] > delays[0].mul_f64(1.2), "{delays:?}");
     assert!(
-        delays[98] < SILENCE_FLOOR,
+        delays[98] < MIN_HANG_TIMEOUT,
         "one short ask is ahead: {delays:?}"
     );
 }
