--- a/crates/lilaccrank/tests/suite/dispatch_faults.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_faults.rs
@@ -18,7 +18,7 @@
 // Guards against a request that holds two slots or is sent twice: an entry that lost the answer asks
 // again with a new number, and a grant for the first ask comes late.
 #[test]
-fn a_later_ask_voids_the_earlier() {
+fn later_ask_supersedes_the_earlier_one() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
     let repeated = ask_with_limit("again", CONCURRENCY_LIMIT);
@@ -102,7 +102,7 @@
 // Guards against requests that break off when a drained target is removed. After `set_targets` it
 // gets no new requests, even if all other targets are full.
 #[test]
-fn a_draining_target_gets_nothing() {
+fn draining_target_gets_no_requests() {
     let mut harness = harness(&[1, 8]);
     harness.ask(ask("a", 0));
     harness.ask(ask("b", 0));
@@ -126,7 +126,7 @@
 // answers. After a silence longer than any expected step it gets no requests, then one cheap bulk
 // request as a trial, and all kinds again once it answers.
 #[test]
-fn a_hung_target_is_found_and_tried_again() {
+fn hung_target_is_detected_and_retried() {
     let mut harness = harness(&[8, 1]);
     harness.ask(ask("silent", 0));
     assert_eq!(harness.grants(), granted("silent", "t0"));
@@ -183,7 +183,7 @@
 // Guards against slow answers from an engine that became ten times slower without reporting it. The
 // length of its steps shows it; one slot stays in use to detect the recovery.
 #[test]
-fn a_slowed_target_gets_less() {
+fn slow_target_gets_fewer_slots() {
     let mut harness = harness(&[8]);
     harness.ask(ask("r", 0));
     harness.report_steps("r", "t0", 8, 20);
@@ -199,7 +199,7 @@
 // resync of one entry only, and the other entry holds the urgent request. Until both have resynced it
 // grants nothing and sheds only from the lowest tier.
 #[test]
-fn a_new_dispatcher_waits_for_the_entries() {
+fn new_dispatcher_waits_for_the_entries_to_resync() {
     let mut harness = Harness::new(&[1], 2, MIN_HANG_TIMEOUT);
     let expected = vec![entry("vm2"), entry("vm3")];
     harness
@@ -266,7 +266,7 @@
 // Guards against running a request twice: it was granted by the previous dispatcher, and its ask is in
 // the queue of the new one. Once resynced as running, it is not granted again.
 #[test]
-fn what_runs_is_not_granted_again() {
+fn running_request_is_not_granted_again() {
     let mut harness = harness(&[1]);
     harness
         .dispatcher
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -446,7 +446,7 @@
 }
 
 #[test]
-fn order_and_shedding_are_those_of_a_rescanned_list() {
+fn order_and_shedding_match_the_reference_model() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(100, SEED))
         .tests(400)
