--- a/crates/lilaccrankd/src/admin/orders.rs
+++ b/crates/lilaccrankd/src/admin/orders.rs
@@ -61,7 +61,7 @@
         target: order.target,
         token: None,
     };
-    Ok(relay::give(daemon, req).await)
+    Ok(relay::submit(daemon, req).await)
 }
 
 fn has_target(daemon: &Daemon, pool: &Pool, order: &OperatorOrder) -> bool {
--- a/crates/lilaccrankd/src/admin/reports.rs
+++ b/crates/lilaccrankd/src/admin/reports.rs
@@ -11,7 +11,7 @@
 use lilaccrank_http::monoio_clock::MonoioClock;
 
 use crate::daemon::Daemon;
-use crate::peers::message::{Held, HeldAsk};
+use crate::peers::message::{HeldConfiguration, HeldConfigurationRequest};
 
 /// Time for one member to tell. A silent one is on its way to be declared dead, and an
 /// operator's publication does not wait for that.
@@ -58,9 +58,9 @@
             vm: vm.clone(),
         });
     }
-    let asking = daemon.peers.call(vm, HeldAsk);
+    let asking = daemon.peers.call(vm, HeldConfigurationRequest);
     match clock::timeout(&MonoioClock, ASK_LIMIT, asking).await {
-        Some(Ok(Held { identity })) => Ok(Report {
+        Some(Ok(HeldConfiguration { identity })) => Ok(Report {
             held: identity,
             vm: vm.clone(),
         }),
--- a/crates/lilaccrankd/src/callers/caller_request.rs
+++ b/crates/lilaccrankd/src/callers/caller_request.rs
@@ -20,7 +20,7 @@
 use crate::callers::answer_cache::ScopedKey;
 use crate::callers::protocol::ReadContext;
 use crate::callers::refusal::{Refusal, Result};
-use crate::targets::proxied::Proxied;
+use crate::targets::proxied_request::ProxiedRequest;
 
 /// Header with the caller's time limit for the complete answer, in milliseconds.
 pub const DEADLINE: HeaderName = HeaderName::from_static("lilaccrank-deadline-ms");
@@ -72,7 +72,7 @@
         stream: bool,
     },
     /// Forward the request to a plain service.
-    Proxy(Proxied),
+    Proxy(ProxiedRequest),
 }
 
 /// A parsed request of a caller.
@@ -117,7 +117,7 @@
         };
         let operation = match answer_format(&head) {
             Some(answer_format) => generate(&body, answer_format, &mut facts)?,
-            None => Operation::Proxy(Proxied::new(&head, &body)),
+            None => Operation::Proxy(ProxiedRequest::new(&head, &body)),
         };
         Ok(Self {
             body,
--- a/crates/lilaccrankd/src/configuration/feed.rs
+++ b/crates/lilaccrankd/src/configuration/feed.rs
@@ -15,7 +15,7 @@
 
 use crate::configuration;
 use crate::daemon::Daemon;
-use crate::peers::message::{Feed, FeedAsk};
+use crate::peers::message::{Feed, FeedRequest};
 use crate::targets::live_list::{self, Listing};
 
 /// Age of what a watcher tells at most, as long as it hears the platform: it waits for a change
@@ -51,7 +51,7 @@
 }
 
 /// Answers another daemon.
-pub fn answer(daemon: &Daemon, asked: &FeedAsk) -> Feed {
+pub fn answer(daemon: &Daemon, asked: &FeedRequest) -> Feed {
     let listing = daemon.live_list.listing();
     let asker_has = Listing {
         revision: asked.revision,
@@ -93,7 +93,7 @@
 async fn ask(daemon: &Rc<Daemon>, vm: &VmId) {
     let asked = MonoioClock.boot();
     let known = daemon.live_list.listing();
-    let req = FeedAsk {
+    let req = FeedRequest {
         advisories: daemon.advisories.pull(vm),
         revision: known.revision,
     };
@@ -102,9 +102,9 @@
         Err(e) => return log::debug!("nothing heard from {vm}: {e}"),
     };
     let cell = &daemon.load_exchange;
-    daemon.advisories.take(vm, &told.advisories, cell);
+    daemon.advisories.merge_page(vm, &told.advisories, cell);
     if let Some(listing) = told.listing {
-        live_list::take(daemon, listing);
+        live_list::apply_listing(daemon, listing);
     }
     if let Some(identity) = &told.identity
         && daemon.adoption.wants(identity)
--- a/crates/lilaccrankd/src/configuration/in_force.rs
+++ b/crates/lilaccrankd/src/configuration/in_force.rs
@@ -46,14 +46,14 @@
             author: configuration.manifest.author.clone(),
             customers: by_digest(
                 document.customers.iter().map(|c| &c.id),
-                load_message::customer,
+                load_message::customer_digest,
             ),
             has_quotas: document.customers.iter().any(|c| c.quota.is_some()),
             identity: configuration.manifest.identity.clone(),
             keys: KeyIndex::new(&document),
             pools: by_digest(
                 document.pools.iter().map(|pool| &pool.id),
-                load_message::pool,
+                load_message::pool_digest,
             ),
             rules: Rc::clone(&configuration.rules),
             document,
--- a/crates/lilaccrankd/src/configuration/source.rs
+++ b/crates/lilaccrankd/src/configuration/source.rs
@@ -75,7 +75,7 @@
 
     /// Takes over a list of targets.
     pub fn listing(&self, listing: Listing) {
-        live_list::take(&self.daemon, listing);
+        live_list::apply_listing(&self.daemon, listing);
     }
 
     /// The list of targets was the newest at `at`.
--- a/crates/lilaccrankd/src/daemon.rs
+++ b/crates/lilaccrankd/src/daemon.rs
@@ -25,7 +25,7 @@
 use crate::callers::refusal::Refusal;
 use crate::configuration::heard::Heard;
 use crate::configuration::in_force::InForce;
-use crate::orders::keeper::{self, OrderKeeper};
+use crate::orders::manager::{self, OrderManager};
 use crate::peers::advisories::SharedAdvisories;
 use crate::peers::duties::Duties;
 use crate::peers::load_exchange::LoadExchange;
@@ -39,7 +39,7 @@
 use crate::request::pool_retry_budgets::PoolRetryBudgets;
 use crate::request::quotas::Quotas;
 use crate::settings::Settings;
-use crate::targets::engine_stream::Patience;
+use crate::targets::engine_stream::SilenceTimeouts;
 use crate::targets::forward::Bounds;
 use crate::targets::live_list::LiveList;
 
@@ -96,7 +96,7 @@
     /// Members of this data centre.
     pub membership: Membership,
     /// Orders to targets.
-    pub order_keeper: OrderKeeper,
+    pub order_keeper: OrderManager,
     /// Other daemons.
     pub peers: PeerNetwork,
     /// The platform beside its store.
@@ -168,7 +168,7 @@
         let per_s = f64::from(cfg.store_claims_per_s);
         let budget = Budget::new(MonoioClock, per_s, per_s * STORE_CLAIMS_BURST);
         let claims = Claims::new(keeper.clone(), store.clone(), budget, KEEPER_WAIT);
-        let order_keeper = OrderKeeper::new(&cfg, incarnation, store.clone());
+        let order_keeper = OrderManager::new(&cfg, incarnation, store.clone());
         Ok(Self {
             adoption: Adoption::new(),
             advisories: SharedAdvisories::default(),
@@ -307,8 +307,8 @@
     }
 
     /// How long targets may be silent.
-    pub fn patience(&self) -> Patience {
-        Patience {
+    pub fn patience(&self) -> SilenceTimeouts {
+        SilenceTimeouts {
             first: Duration::from_millis(self.cfg.first_token_ms),
             next: Duration::from_millis(self.cfg.between_tokens_ms),
         }
@@ -359,8 +359,8 @@
             },
         );
         server::configuration_changed(self);
-        client::rebalance(self);
-        keeper::reconcile(self);
+        client::resync_dispatchers(self);
+        manager::reconcile(self);
     }
 }
 
--- a/crates/lilaccrankd/src/orders.rs
+++ b/crates/lilaccrankd/src/orders.rs
@@ -1,10 +1,10 @@
 //! Orders to targets: who gives them, under which lease, and what each target was told.
 
-pub mod drain_teller;
+pub mod drain_reconciler;
 pub mod jobs;
-pub mod keeper;
+pub mod manager;
 pub mod message;
 pub mod pool_orders;
 pub mod relay;
 pub mod target_orders;
-pub mod times;
+pub mod timeouts;
--- a/crates/lilaccrankd/src/orders/drain_teller.rs
+++ b/crates/lilaccrankd/src/orders/drain_reconciler.rs
@@ -23,98 +23,98 @@
 
 /// A duty that moves on within this time is a sign of members still being found; what would be
 /// told then costs the store a lease each time.
-const SETTLE: Duration = Duration::from_secs(1);
+const SETTLE_DELAY: Duration = Duration::from_secs(1);
 /// Ceiling of the first wait before an order is given again.
-const FIRST_WAIT: Duration = Duration::from_millis(500);
+const BASE_BACKOFF: Duration = Duration::from_millis(500);
 /// Highest ceiling of the wait; longer than the lease lingers, so that a dead engine does not
 /// keep it held for ever.
-const LONGEST_WAIT: Duration = Duration::from_secs(120);
+const MAX_BACKOFF: Duration = Duration::from_secs(120);
 
 /// What an engine was told, and in which term.
 #[derive(Clone, Eq, PartialEq)]
-struct Told {
+struct DrainState {
     address: String,
     state: TargetState,
     term: Term,
 }
 
-struct Teller {
-    busy: RefCell<IndexSet<TargetId>>,
+struct DrainReconciler {
+    in_progress: RefCell<IndexSet<TargetId>>,
     daemon: Rc<Daemon>,
     pool_orders: Rc<PoolOrders>,
-    told: RefCell<IndexMap<TargetId, Told>>,
+    applied: RefCell<IndexMap<TargetId, DrainState>>,
 }
 
 /// Runs for as long as the daemon does.
 pub async fn run(daemon: Rc<Daemon>, pool_orders: Rc<PoolOrders>) {
-    let teller = Rc::new(Teller {
-        busy: RefCell::default(),
+    let reconciler = Rc::new(DrainReconciler {
+        in_progress: RefCell::default(),
         daemon,
         pool_orders: Rc::clone(&pool_orders),
-        told: RefCell::default(),
+        applied: RefCell::default(),
     });
-    let mut settled = None;
+    let mut settled_term = None;
     loop {
         let changed = pool_orders.listen();
         let term = pool_orders.term();
-        if term != settled {
-            monoio::time::sleep(SETTLE).await;
-            settled = term;
+        if term != settled_term {
+            monoio::time::sleep(SETTLE_DELAY).await;
+            settled_term = term;
             continue;
         }
         if term.is_some() {
-            teller.start();
+            reconciler.reconcile_all();
         }
         changed.await;
     }
 }
 
-impl Teller {
+impl DrainReconciler {
     /// One task for each engine, so that one that does not answer holds up no other.
-    fn start(self: &Rc<Self>) {
+    fn reconcile_all(self: &Rc<Self>) {
         let ids = self.pool_orders.target_ids();
-        self.told.borrow_mut().retain(|id, _| ids.contains(id));
+        self.applied.borrow_mut().retain(|id, _| ids.contains(id));
         for id in ids {
-            if self.untold(&id).is_some() && self.busy.borrow_mut().insert(id.clone()) {
-                monoio::spawn(Rc::clone(self).tell(id));
+            if self.pending(&id).is_some() && self.in_progress.borrow_mut().insert(id.clone()) {
+                monoio::spawn(Rc::clone(self).reconcile(id));
             }
         }
     }
 
-    async fn tell(self: Rc<Self>, id: TargetId) {
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
-        while let Some((target, wanted)) = self.untold(&id) {
-            if self.tell_once(&target).await {
-                self.told.borrow_mut().insert(id.clone(), wanted);
+    async fn reconcile(self: Rc<Self>, id: TargetId) {
+        let mut backoff = Backoff::new(BASE_BACKOFF, MAX_BACKOFF);
+        while let Some((target, desired)) = self.pending(&id) {
+            if self.send_order(&target).await {
+                self.applied.borrow_mut().insert(id.clone(), desired);
                 backoff.reset();
             } else {
-                self.wait(&id, &wanted, backoff.next_wait()).await;
+                self.wait(&id, &desired, backoff.next_wait()).await;
             }
         }
-        self.busy.borrow_mut().swap_remove(&id);
+        self.in_progress.borrow_mut().swap_remove(&id);
     }
 
     /// The state that an engine has not been told yet.
-    fn untold(&self, id: &TargetId) -> Option<(Target, Told)> {
+    fn pending(&self, id: &TargetId) -> Option<(Target, DrainState)> {
         let term = self.pool_orders.term()?;
         let target = self.pool_orders.target(id)?;
-        let wanted = Told {
+        let desired = DrainState {
             address: target.address.clone(),
             state: target.state,
             term,
         };
-        let told = self.told.borrow().get(id).cloned();
-        (told.as_ref() != Some(&wanted)).then_some((target, wanted))
+        let last_applied = self.applied.borrow().get(id).cloned();
+        (last_applied.as_ref() != Some(&desired)).then_some((target, desired))
     }
 
-    async fn tell_once(&self, target: &Target) -> bool {
+    async fn send_order(&self, target: &Target) -> bool {
         let command = match target.state {
             TargetState::Draining => Command::Drain,
             TargetState::Live => Command::Resume,
         };
         let id = self.daemon.next_request_id();
-        let given = self.pool_orders.give(target, &id, command.clone()).await;
-        let detail = match &given {
+        let result = self.pool_orders.give(target, &id, command.clone()).await;
+        let detail = match &result {
             Ok(()) => command.to_string(),
             Err(e) => format!("{command}: {e}"),
         };
@@ -125,23 +125,23 @@
             ..Subject::default()
         };
         self.daemon.record(EventKind::Ordered, subject);
-        given.is_ok()
+        result.is_ok()
     }
 
     /// Waits, but not longer than until another state is wanted.
-    async fn wait(&self, id: &TargetId, wanted: &Told, wait: Duration) {
+    async fn wait(&self, id: &TargetId, desired: &DrainState, wait: Duration) {
         let changed = async {
             loop {
                 let changed = self.pool_orders.listen();
-                let now = self.untold(id).map(|(_, now)| now);
-                if now.as_ref() != Some(wanted) {
+                let now = self.pending(id).map(|(_, now)| now);
+                if now.as_ref() != Some(desired) {
                     return;
                 }
                 changed.await;
             }
         };
-        let over = monoio::time::sleep(wait);
-        pin_mut!(changed, over);
-        future::select(changed, over).await;
+        let timeout = monoio::time::sleep(wait);
+        pin_mut!(changed, timeout);
+        future::select(changed, timeout).await;
     }
 }
--- a/crates/lilaccrankd/src/orders/jobs.rs
+++ b/crates/lilaccrankd/src/orders/jobs.rs
@@ -12,9 +12,9 @@
 use crate::orders::message::{OrderReply, OrderRequest};
 
 /// How long the outcome of an order is kept for who repeats it.
-const KEPT: Duration = Duration::from_secs(600);
+const RETENTION: Duration = Duration::from_secs(600);
 /// Orders kept at most.
-const LIMIT: usize = 1_000;
+const MAX_JOBS: usize = 1_000;
 
 /// Orders by id.
 #[derive(Default)]
@@ -23,7 +23,7 @@
 }
 
 struct Job {
-    begun: Instant,
+    created_at: Instant,
     req: OrderRequest,
     state: State,
 }
@@ -31,7 +31,7 @@
 enum State {
     Ended(OrderOutcome),
     /// Waits for the token.
-    Offered {
+    AwaitingConfirmation {
         token: u64,
     },
     Running,
@@ -39,29 +39,29 @@
 
 impl Job {
     /// What a request with the same id is told; `None` if it is to be tried again.
-    fn answer(&self, req: &OrderRequest) -> Option<OrderReply> {
-        let same = self.req.command == req.command && self.req.target == req.target;
-        if !same {
+    fn reply_to(&self, req: &OrderRequest) -> Option<OrderReply> {
+        let is_same_order = self.req.command == req.command && self.req.target == req.target;
+        if !is_same_order {
             return Some(refused("this id was used for another order"));
         }
         match &self.state {
             State::Ended(outcome) => {
-                let stands = *outcome == OrderOutcome::Done || self.req.attempt == req.attempt;
-                stands.then(|| OrderReply::Ended(outcome.clone()))
+                let is_final = *outcome == OrderOutcome::Done || self.req.attempt == req.attempt;
+                is_final.then(|| OrderReply::Ended(outcome.clone()))
             }
-            State::Offered { token } => Some(OrderReply::Confirm { token: *token }),
+            State::AwaitingConfirmation { token } => Some(OrderReply::Confirm { token: *token }),
             State::Running => Some(OrderReply::UnderWay),
         }
     }
 
     fn is_confirmed_by(&self, req: &OrderRequest) -> bool {
-        matches!(self.state, State::Offered { token } if req.token == Some(token))
+        matches!(self.state, State::AwaitingConfirmation { token } if req.token == Some(token))
             && self.req.attempt == req.attempt
     }
 }
 
 /// Begins an order that is asked for with its token, or tells how it is getting on.
-pub fn answer(daemon: &Rc<Daemon>, req: OrderRequest) -> OrderReply {
+pub fn handle(daemon: &Rc<Daemon>, req: OrderRequest) -> OrderReply {
     let mut all = daemon.order_keeper.jobs.jobs.borrow_mut();
     if let Some(job) = all.get_mut(&req.id) {
         if job.is_confirmed_by(&req) {
@@ -69,22 +69,24 @@
             monoio::spawn(run(Rc::clone(daemon), req));
             return OrderReply::UnderWay;
         }
-        if let Some(reply) = job.answer(&req) {
+        if let Some(reply) = job.reply_to(&req) {
             return reply;
         }
     }
-    if daemon.order_keeper.on_duty(&req.pool).is_none() {
+    if daemon.order_keeper.active_orders(&req.pool).is_none() {
         return OrderReply::Declined;
     }
-    all.retain(|_, job| matches!(job.state, State::Running) || job.begun.elapsed() < KEPT);
-    if all.len() >= LIMIT {
+    all.retain(|_, job| {
+        matches!(job.state, State::Running) || job.created_at.elapsed() < RETENTION
+    });
+    if all.len() >= MAX_JOBS {
         return refused("too many orders are kept; try again later");
     }
     let token = rand::random();
     let job = Job {
-        begun: Instant::now(),
+        created_at: Instant::now(),
         req: req.clone(),
-        state: State::Offered { token },
+        state: State::AwaitingConfirmation { token },
     };
     all.insert(req.id, job);
     OrderReply::Confirm { token }
@@ -107,15 +109,15 @@
 }
 
 async fn give(daemon: &Daemon, req: &OrderRequest) -> OrderOutcome {
-    let pool_orders = daemon.order_keeper.on_duty(&req.pool);
+    let pool_orders = daemon.order_keeper.active_orders(&req.pool);
     let target = pool_orders.and_then(|it| it.target(&req.target).map(|target| (it, target)));
     let Some((pool_orders, target)) = target else {
         return OrderOutcome::Refused {
             reason: "the target is no longer in the pool; nothing was sent".to_owned(),
         };
     };
-    let given = pool_orders.give(&target, &req.id, req.command.clone());
-    given.await.into()
+    let result = pool_orders.give(&target, &req.id, req.command.clone());
+    result.await.into()
 }
 
 fn refused(reason: &str) -> OrderReply {
--- a/crates/lilaccrankd/src/orders/keeper.rs
+++ b/crates/lilaccrankd/src/orders/manager.rs
@@ -10,14 +10,14 @@
 use lilaccrank::request_key::Ranking;
 
 use crate::daemon::{Daemon, PlatformStore};
-use crate::orders::drain_teller;
+use crate::orders::drain_reconciler;
 use crate::orders::jobs::OrderJobs;
 use crate::orders::pool_orders::PoolOrders;
-use crate::orders::times::OrderTimes;
+use crate::orders::timeouts::OrderTimeouts;
 use crate::settings::Settings;
 
 /// Orders of this life of the daemon.
-pub struct OrderKeeper {
+pub struct OrderManager {
     data_centre: String,
     /// This life, as the store names the holder of a lease.
     holder: String,
@@ -26,10 +26,10 @@
     pools: RefCell<IndexMap<PoolId, Rc<PoolOrders>>>,
     store: PlatformStore,
     /// Times of orders.
-    pub times: OrderTimes,
+    pub timeouts: OrderTimeouts,
 }
 
-impl OrderKeeper {
+impl OrderManager {
     /// Gives no orders before [`reconcile`].
     #[must_use]
     pub fn new(cfg: &Settings, incarnation: Incarnation, store: PlatformStore) -> Self {
@@ -39,27 +39,27 @@
             jobs: OrderJobs::default(),
             pools: RefCell::default(),
             store,
-            times: OrderTimes::new(cfg),
+            timeouts: OrderTimeouts::new(cfg),
         }
     }
 
     /// Whether this daemon gives orders to any pool.
     #[must_use]
-    pub fn is_on_duty(&self) -> bool {
-        self.pools.borrow().values().any(|it| it.is_on_duty())
+    pub fn is_active(&self) -> bool {
+        self.pools.borrow().values().any(|it| it.is_active())
     }
 
     /// The orders to a pool, if this daemon gives them.
     #[must_use]
-    pub fn on_duty(&self, pool: &PoolId) -> Option<Rc<PoolOrders>> {
+    pub fn active_orders(&self, pool: &PoolId) -> Option<Rc<PoolOrders>> {
         let pools = self.pools.borrow();
-        let pool_orders = pools.get(pool).filter(|it| it.is_on_duty())?;
+        let pool_orders = pools.get(pool).filter(|it| it.is_active())?;
         Some(Rc::clone(pool_orders))
     }
 
     fn start(&self, pool: &PoolId) -> Rc<PoolOrders> {
         let key = format!("lease/orders/{}/{pool}", self.data_centre);
-        PoolOrders::start(key, self.holder.clone(), self.store.clone(), self.times)
+        PoolOrders::start(key, self.holder.clone(), self.store.clone(), self.timeouts)
     }
 }
 
@@ -69,38 +69,38 @@
         return;
     };
     let pools = &in_force.document.pools;
-    let keeper = &daemon.order_keeper;
-    let life = daemon.duties.me().incarnation;
-    for (pool, pool_orders) in keeper.pools.borrow().iter() {
+    let manager = &daemon.order_keeper;
+    let incarnation = daemon.duties.me().incarnation;
+    for (pool, pool_orders) in manager.pools.borrow().iter() {
         if !pools.iter().any(|configured| configured.id == *pool) {
-            pool_orders.set_on_duty(false, life);
+            pool_orders.set_active(false, incarnation);
         }
     }
     for pool in pools {
-        let targets = engines_here(daemon, pool);
-        let on_duty = !targets.is_empty() && daemon.duties.is_dispatcher(&pool.id);
-        let known = keeper.pools.borrow().get(&pool.id).cloned();
+        let targets = local_engines(daemon, pool);
+        let is_active = !targets.is_empty() && daemon.duties.is_dispatcher(&pool.id);
+        let known = manager.pools.borrow().get(&pool.id).cloned();
         let pool_orders = match known {
             Some(pool_orders) => pool_orders,
-            None if on_duty => {
-                let pool_orders = keeper.start(&pool.id);
-                monoio::spawn(drain_teller::run(
+            None if is_active => {
+                let pool_orders = manager.start(&pool.id);
+                monoio::spawn(drain_reconciler::run(
                     Rc::clone(daemon),
                     Rc::clone(&pool_orders),
                 ));
-                let mut all = keeper.pools.borrow_mut();
+                let mut all = manager.pools.borrow_mut();
                 all.insert(pool.id.clone(), Rc::clone(&pool_orders));
                 pool_orders
             }
             None => continue,
         };
         pool_orders.set_targets(targets);
-        pool_orders.set_on_duty(on_duty, life);
+        pool_orders.set_active(is_active, incarnation);
     }
 }
 
 /// Plain services take no orders, nor do targets that the platform manages.
-fn engines_here(daemon: &Daemon, pool: &Pool) -> Vec<Target> {
+fn local_engines(daemon: &Daemon, pool: &Pool) -> Vec<Target> {
     if pool.kind != PoolKind::Engine || pool.listed {
         return Vec::new();
     }
--- a/crates/lilaccrankd/src/orders/pool_orders.rs
+++ b/crates/lilaccrankd/src/orders/pool_orders.rs
@@ -16,13 +16,13 @@
 
 use crate::daemon::PlatformStore;
 use crate::orders::target_orders::TargetOrders;
-use crate::orders::times::OrderTimes;
+use crate::orders::timeouts::OrderTimeouts;
 
 /// The lease is kept this long after the last order. Orders come in series, and a target that
 /// ignores fencing numbers costs a long wait each time the lease is taken anew.
-const LINGER: Duration = Duration::from_secs(30);
+const LEASE_LINGER: Duration = Duration::from_secs(30);
 /// Time between two looks at a lease that is being taken.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Who gives the orders to one pool of one data centre.
 ///
@@ -32,16 +32,16 @@
     changed: Event,
     /// Name of the lease.
     key: String,
-    last_wanted: Cell<Instant>,
-    life: Cell<Incarnation>,
-    on_duty: Cell<bool>,
+    last_order_at: Cell<Instant>,
+    incarnation: Cell<Incarnation>,
+    active: Cell<bool>,
     orders: Orders<MonoioClock, LeaseHandle<MonoioClock>, TargetOrders>,
     targets: Rc<RefCell<IndexMap<TargetId, Target>>>,
-    tenure: LeaseHandle<MonoioClock>,
+    lease_handle: LeaseHandle<MonoioClock>,
     term: Cell<Term>,
-    times: OrderTimes,
+    timeouts: OrderTimeouts,
     /// Orders that need the lease now.
-    wanted: Cell<usize>,
+    pending_orders: Cell<usize>,
 }
 
 /// Counts the times that this daemon took the duty on.
@@ -51,60 +51,71 @@
 type LeaseKeeper = Keeper<PlatformStore, MonoioClock>;
 
 /// Counts one order that needs the lease until it is dropped.
-struct Wanted<'a>(&'a PoolOrders);
+struct PendingOrder<'a>(&'a PoolOrders);
 
-impl Drop for Wanted<'_> {
+impl Drop for PendingOrder<'_> {
     fn drop(&mut self) {
-        self.0.last_wanted.set(Instant::now());
-        self.0.wanted.set(self.0.wanted.get() - 1);
+        self.0.last_order_at.set(Instant::now());
+        self.0.pending_orders.set(self.0.pending_orders.get() - 1);
         self.0.changed.notify(usize::MAX);
     }
 }
 
 impl PoolOrders {
     /// Starts the task that takes the lease at `key` while it is needed.
-    pub fn start(key: String, holder: String, store: PlatformStore, times: OrderTimes) -> Rc<Self> {
-        let lease = Lease::new(times.lease(), &*key, holder, store, MonoioClock);
+    pub fn start(
+        key: String,
+        holder: String,
+        store: PlatformStore,
+        timeouts: OrderTimeouts,
+    ) -> Rc<Self> {
+        let lease = Lease::new(timeouts.lease(), &*key, holder, store, MonoioClock);
         let keeper = Keeper::new(lease);
-        let tenure = keeper.handle();
+        let lease_handle = keeper.handle();
         let targets = Rc::default();
-        let answer_limit = times.orders().timeout;
-        let port = TargetOrders::new(Rc::clone(&targets), answer_limit, tenure.clone());
+        let answer_limit = timeouts.orders().timeout;
+        let target_orders =
+            TargetOrders::new(Rc::clone(&targets), answer_limit, lease_handle.clone());
         let pool_orders = Rc::new(Self {
             changed: Event::new(),
             key,
-            last_wanted: Cell::new(Instant::now()),
-            life: Cell::new(0),
-            on_duty: Cell::new(false),
-            orders: Orders::new(times.orders(), MonoioClock, tenure.clone(), port),
+            last_order_at: Cell::new(Instant::now()),
+            incarnation: Cell::new(0),
+            active: Cell::new(false),
+            orders: Orders::new(
+                timeouts.orders(),
+                MonoioClock,
+                lease_handle.clone(),
+                target_orders,
+            ),
             targets,
-            tenure,
+            lease_handle,
             term: Cell::new(0),
-            times,
-            wanted: Cell::new(0),
+            timeouts,
+            pending_orders: Cell::new(0),
         });
-        monoio::spawn(Rc::clone(&pool_orders).keep(keeper));
+        monoio::spawn(Rc::clone(&pool_orders).maintain_lease(keeper));
         pool_orders
     }
 
     /// Whether this daemon gives the pool's orders.
-    pub fn is_on_duty(&self) -> bool {
-        self.on_duty.get()
+    pub fn is_active(&self) -> bool {
+        self.active.get()
     }
 
     /// The present term; `None` while another daemon has the duty.
     pub fn term(&self) -> Option<Term> {
-        self.is_on_duty().then(|| self.term.get())
+        self.is_active().then(|| self.term.get())
     }
 
-    /// Takes the duty on, or lets it and the lease go. `life` is the daemon's present one: who was
+    /// Takes the duty on, or lets it and the lease go. `incarnation` is the daemon's present one: who was
     /// taken for dead and comes back begins a new term, though it never saw another have the duty.
-    pub fn set_on_duty(&self, on_duty: bool, life: Incarnation) {
-        let same_life = self.life.replace(life) == life;
-        if self.on_duty.replace(on_duty) == on_duty && (same_life || !on_duty) {
+    pub fn set_active(&self, is_active: bool, incarnation: Incarnation) {
+        let is_same_incarnation = self.incarnation.replace(incarnation) == incarnation;
+        if self.active.replace(is_active) == is_active && (is_same_incarnation || !is_active) {
             return;
         }
-        if on_duty {
+        if is_active {
             self.term.set(self.term.get() + 1);
         }
         self.changed.notify(usize::MAX);
@@ -140,72 +151,75 @@
     ///
     /// [`Error::Unknown`] if the target may carry it out; after any other error it does not.
     pub async fn give(&self, target: &Target, id: &str, command: Command) -> Result<()> {
-        let _wanted = self.want();
+        let _pending_order = self.track_order();
         let addressee = Addressee {
             fencing: target.fencing,
             id: target.id.clone(),
         };
-        let until = Instant::now() + self.times.wait_for_lease();
+        let deadline = Instant::now() + self.timeouts.max_lease_wait();
         let term = self.term();
         loop {
-            while self.tenure.guard().is_err() && term == self.term() && Instant::now() < until {
-                monoio::time::sleep(LOOK_EVERY).await;
+            while self.lease_handle.guard().is_err()
+                && term == self.term()
+                && Instant::now() < deadline
+            {
+                monoio::time::sleep(LEASE_POLL_INTERVAL).await;
             }
             // In a new term another may have given a later order, which this one would undo.
-            if term.is_none() || term != self.term() || self.tenure.guard().is_err() {
+            if term.is_none() || term != self.term() || self.lease_handle.guard().is_err() {
                 return Err(lease::Error::NotHeld(self.key.clone()).into());
             }
-            let given = self.orders.give(&addressee, id, command.clone()).await;
+            let result = self.orders.give(&addressee, id, command.clone()).await;
             // The lease was lost before anything was sent.
-            let again = matches!(given, Err(Error::Lease(_))) && Instant::now() < until;
-            if !again {
-                return given;
+            let can_retry = matches!(result, Err(Error::Lease(_))) && Instant::now() < deadline;
+            if !can_retry {
+                return result;
             }
         }
     }
 
-    fn want(&self) -> Wanted<'_> {
-        self.wanted.set(self.wanted.get() + 1);
+    fn track_order(&self) -> PendingOrder<'_> {
+        self.pending_orders.set(self.pending_orders.get() + 1);
         self.changed.notify(usize::MAX);
-        Wanted(self)
+        PendingOrder(self)
     }
 
-    async fn keep(self: Rc<Self>, mut keeper: LeaseKeeper) {
+    async fn maintain_lease(self: Rc<Self>, mut keeper: LeaseKeeper) {
         loop {
-            self.needed().await;
-            keeper = keeper.run_until(self.not_needed()).await;
+            self.wait_until_needed().await;
+            keeper = keeper.run_until(self.wait_until_unneeded()).await;
         }
     }
 
     /// The lease is taken only for orders. Held by each pool of each data centre all the time, it
     /// would cost the store more writes than everything else together.
-    async fn needed(&self) {
+    async fn wait_until_needed(&self) {
         loop {
             let changed = self.listen();
-            if self.is_on_duty() && self.wanted.get() > 0 {
+            if self.is_active() && self.pending_orders.get() > 0 {
                 return;
             }
             changed.await;
         }
     }
 
-    async fn not_needed(&self) {
+    async fn wait_until_unneeded(&self) {
         loop {
             let changed = self.listen();
-            if !self.is_on_duty() {
+            if !self.is_active() {
                 return;
             }
-            if self.wanted.get() > 0 {
+            if self.pending_orders.get() > 0 {
                 changed.await;
                 continue;
             }
-            let left = LINGER.saturating_sub(self.last_wanted.get().elapsed());
-            if left.is_zero() {
+            let remaining = LEASE_LINGER.saturating_sub(self.last_order_at.get().elapsed());
+            if remaining.is_zero() {
                 return;
             }
-            let over = monoio::time::sleep(left);
-            pin_mut!(over);
-            if let Either::Left(_) = future::select(over, changed).await {
+            let timeout = monoio::time::sleep(remaining);
+            pin_mut!(timeout);
+            if let Either::Left(_) = future::select(timeout, changed).await {
                 continue;
             }
         }
--- a/crates/lilaccrankd/src/orders/relay.rs
+++ b/crates/lilaccrankd/src/orders/relay.rs
@@ -12,23 +12,25 @@
 use crate::orders::message::{OrderReply, OrderRequest};
 
 /// Time between two questions how an order is getting on.
-const ASK_EVERY: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Has an order given, and waits for its end within the time that it may take.
-pub async fn give(daemon: &Rc<Daemon>, mut req: OrderRequest) -> OrderOutcome {
-    let until = Instant::now() + daemon.order_keeper.times.whole_order();
+pub async fn submit(daemon: &Rc<Daemon>, mut req: OrderRequest) -> OrderOutcome {
+    let deadline = Instant::now() + daemon.order_keeper.timeouts.max_order_duration();
     // The daemon that may have begun it.
-    let mut begun: Option<MemberRef> = None;
+    let mut started_on: Option<MemberRef> = None;
     loop {
         // When the duty moves on, only who began the order can tell what became of it; another
         // would begin it anew.
-        let first = begun.clone().filter(|first| daemon.duties.is_live(first));
-        let Some(holder) = first.or_else(|| daemon.duties.dispatcher(&req.pool)) else {
-            return ended(&begun, None, "no daemon has the duty".to_owned());
+        let previous = started_on
+            .clone()
+            .filter(|previous| daemon.duties.is_live(previous));
+        let Some(holder) = previous.or_else(|| daemon.duties.dispatcher(&req.pool)) else {
+            return failure(&started_on, None, "no daemon has the duty".to_owned());
         };
-        match ask(daemon, &holder, &req).await {
+        match send(daemon, &holder, &req).await {
             Ok(OrderReply::Ended(OrderOutcome::Refused { reason })) => {
-                return ended(&begun, Some(&holder), reason);
+                return failure(&started_on, Some(&holder), reason);
             }
             Ok(OrderReply::Ended(outcome)) => return outcome,
             Ok(OrderReply::Confirm { token }) if req.token != Some(token) => {
@@ -36,39 +38,39 @@
                 continue;
             }
             Ok(OrderReply::UnderWay) => {
-                begun.get_or_insert(holder);
+                started_on.get_or_insert(holder);
             }
             Err(peers::Error::NoAnswer(_)) if req.token.is_some() => {
-                begun.get_or_insert(holder);
+                started_on.get_or_insert(holder);
             }
             Ok(OrderReply::Confirm { .. } | OrderReply::Declined) | Err(_) => {}
         }
-        if Instant::now() >= until {
-            return ended(
-                &begun,
+        if Instant::now() >= deadline {
+            return failure(
+                &started_on,
                 None,
                 "no daemon has told the end in time".to_owned(),
             );
         }
-        monoio::time::sleep(ASK_EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ask(
+async fn send(
     daemon: &Rc<Daemon>,
     holder: &MemberRef,
     req: &OrderRequest,
 ) -> peers::Result<OrderReply> {
     if *holder == daemon.duties.me() {
-        return Ok(jobs::answer(daemon, req.clone()));
+        return Ok(jobs::handle(daemon, req.clone()));
     }
     daemon.peers.call(&holder.vm, req.clone()).await
 }
 
 /// A daemon that refuses knows of itself that it sent nothing, but not of another that had begun.
-fn ended(begun: &Option<MemberRef>, by: Option<&MemberRef>, reason: String) -> OrderOutcome {
-    match begun {
-        Some(first) if by != Some(first) => OrderOutcome::Unknown { reason },
+fn failure(started_on: &Option<MemberRef>, by: Option<&MemberRef>, reason: String) -> OrderOutcome {
+    match started_on {
+        Some(previous) if by != Some(previous) => OrderOutcome::Unknown { reason },
         _ => OrderOutcome::Refused { reason },
     }
 }
--- a/crates/lilaccrankd/src/orders/target_orders.rs
+++ b/crates/lilaccrankd/src/orders/target_orders.rs
@@ -27,7 +27,7 @@
 
 /// Body of an order.
 #[derive(Serialize)]
-struct Wire<'a> {
+struct OrderBody<'a> {
     argument: &'a str,
     fencing: Fence,
     kind: Kind,
@@ -44,22 +44,22 @@
 /// The engines of one pool, at the addresses that the configuration gives.
 pub struct TargetOrders {
     /// Longest wait for an answer.
-    head: Duration,
+    answer_timeout: Duration,
     targets: Rc<RefCell<IndexMap<TargetId, Target>>>,
-    tenure: LeaseHandle<MonoioClock>,
+    lease_handle: LeaseHandle<MonoioClock>,
 }
 
 impl TargetOrders {
-    /// Sends under `tenure` to those of `targets`.
+    /// Sends under `lease_handle` to those of `targets`.
     pub fn new(
         targets: Rc<RefCell<IndexMap<TargetId, Target>>>,
-        head: Duration,
-        tenure: LeaseHandle<MonoioClock>,
+        answer_timeout: Duration,
+        lease_handle: LeaseHandle<MonoioClock>,
     ) -> Self {
         Self {
-            head,
+            answer_timeout,
             targets,
-            tenure,
+            lease_handle,
         }
     }
 }
@@ -77,8 +77,8 @@
         // The process may have been paused while it connected, for longer than its lease. Only
         // the time between this look and the bytes leaving is not covered; see
         // docs/COORDINATION.md.
-        self.tenure.guard_for(order.fence)?;
-        let sent = connection.send(req, self.head).await;
+        self.lease_handle.guard_for(order.fence)?;
+        let sent = connection.send(req, self.answer_timeout).await;
         let res = sent.map_err(|_| Error::Unknown(target.clone()))?;
         let status = res.status();
         if status.is_success() {
@@ -110,17 +110,17 @@
         Command::Drain => (Kind::Drain, ""),
         Command::LoadModel { model } => (Kind::LoadModel, model.as_str()),
         Command::Resume => (Kind::Drain, DRAIN_OFF),
-        Command::SetRole { role: wanted } => {
-            role = wanted.to_string();
+        Command::SetRole { role: new_role } => {
+            role = new_role.to_string();
             (Kind::ChangeRole, role.as_str())
         }
     };
-    let wire = Wire {
+    let order_body = OrderBody {
         argument,
         fencing: order.fence,
         kind,
     };
-    let json = serde_json::to_vec(&wire).expect("a flat record always serialises");
+    let json = serde_json::to_vec(&order_body).expect("a flat record always serialises");
     let mut req = Request::new(body::full(json));
     *req.method_mut() = Method::POST;
     *req.uri_mut() = hyper::Uri::from_static(PATH);
--- a/crates/lilaccrankd/src/peers.rs
+++ b/crates/lilaccrankd/src/peers.rs
@@ -1,7 +1,7 @@
 //! Other daemons: who they are, what they are told, and what that costs.
 
 pub mod advisories;
-pub mod changes;
+pub mod change_signal;
 pub mod duties;
 pub mod load_exchange;
 pub mod load_message;
--- a/crates/lilaccrankd/src/peers/advisories.rs
+++ b/crates/lilaccrankd/src/peers/advisories.rs
@@ -10,7 +10,7 @@
 use lilaccrank::ids::{ContentDigest, Incarnation, VmId};
 use lilaccrank::target_life::{LifeDigest, TargetLife};
 
-use crate::peers::changes::Changes;
+use crate::peers::change_signal::ChangeSignal;
 use crate::peers::load_exchange::LoadExchange;
 use crate::targets::protocol::RateLimit;
 
@@ -20,7 +20,7 @@
 /// Advisories of this and other daemons.
 pub struct SharedAdvisories {
     completed: RefCell<RecentContents>,
-    crashes: Changes,
+    crashes: ChangeSignal,
     cursors: RefCell<Cursors>,
     known: RefCell<Advisories>,
 }
@@ -29,7 +29,7 @@
     fn default() -> Self {
         Self {
             completed: RefCell::new(RecentContents::new(Instant::now())),
-            crashes: Changes::default(),
+            crashes: ChangeSignal::default(),
             cursors: RefCell::default(),
             known: RefCell::default(),
         }
@@ -38,7 +38,12 @@
 
 impl SharedAdvisories {
     /// A target crashed with a request of this content in flight.
-    pub fn crashed(&self, content: ContentDigest, target: &TargetLife, cell: &LoadExchange) {
+    pub fn record_crash(
+        &self,
+        content: ContentDigest,
+        target: &TargetLife,
+        exchange: &LoadExchange,
+    ) {
         if self
             .completed
             .borrow_mut()
@@ -50,20 +55,20 @@
             content,
             target: target.digest(),
         };
-        self.note(fact, cell);
+        self.record(fact, exchange);
     }
 
     /// A target completed a request of this content.
-    pub fn completed(&self, content: ContentDigest, cell: &LoadExchange) {
+    pub fn record_completion(&self, content: ContentDigest, exchange: &LoadExchange) {
         let now = Instant::now();
         self.completed.borrow_mut().insert(content, now);
         if self.known.borrow().is_suspect(content, now) {
-            self.note(Fact::Completed { content }, cell);
+            self.record(Fact::Completed { content }, exchange);
         }
     }
 
     /// Notifies of new crashes.
-    pub fn crashes(&self) -> &Changes {
+    pub fn crashes(&self) -> &ChangeSignal {
         &self.crashes
     }
 
@@ -78,7 +83,7 @@
     }
 
     /// Adds quarantines from the platform's store, with their ages.
-    pub fn recorded(&self, quarantines: &[(ContentDigest, Duration)], cell: &LoadExchange) {
+    pub fn merge_stored(&self, quarantines: &[(ContentDigest, Duration)], exchange: &LoadExchange) {
         let now = Instant::now();
         for (content, age) in quarantines {
             let is_known = self
@@ -92,13 +97,16 @@
                     .borrow_mut()
                     .note_stored_quarantine(*content, *age, now);
             if is_new {
-                self.propagate(&[Fact::Quarantined { content: *content }], cell);
+                self.propagate(&[Fact::Quarantined { content: *content }], exchange);
             }
         }
     }
 
     /// How long a request is still quarantined, whose content is `content()`.
-    pub fn quarantine(&self, content: impl FnOnce() -> ContentDigest) -> Option<Duration> {
+    pub fn quarantine_remaining(
+        &self,
+        content: impl FnOnce() -> ContentDigest,
+    ) -> Option<Duration> {
         let known = self.known.borrow();
         if known.is_empty() {
             return None;
@@ -107,7 +115,12 @@
     }
 
     /// Notes the rate limit that a target advertised with an answer.
-    pub fn rate_limited(&self, target: &TargetLife, limit: RateLimit, cell: &LoadExchange) {
+    pub fn record_rate_limit(
+        &self,
+        target: &TargetLife,
+        limit: RateLimit,
+        exchange: &LoadExchange,
+    ) {
         let per_1000_s = match limit {
             RateLimit::PerSecond(rate) => Some(per_1000_s(rate)),
             RateLimit::Unlimited => None,
@@ -117,7 +130,7 @@
             per_1000_s,
             target: target.digest(),
         };
-        self.note(fact, cell);
+        self.record(fact, exchange);
     }
 
     /// Rates that targets advertise, in requests per second.
@@ -132,22 +145,22 @@
     }
 
     /// Merges the sync reply of a peer.
-    pub fn take(&self, vm: &VmId, page: &Page, cell: &LoadExchange) {
+    pub fn merge_page(&self, vm: &VmId, page: &Page, exchange: &LoadExchange) {
         let new = {
             let mut known = self.known.borrow_mut();
             let mut cursors = self.cursors.borrow_mut();
             cursors.merge_page(vm, page, &mut known, Instant::now())
         };
-        self.propagate(&new, cell);
+        self.propagate(&new, exchange);
     }
 
     /// Replies to a peer as this daemon's `incarnation`.
-    pub fn answer(&self, pull: &Pull, incarnation: Incarnation, cell: &LoadExchange) -> Page {
+    pub fn answer(&self, pull: &Pull, incarnation: Incarnation, exchange: &LoadExchange) -> Page {
         let (page, new) = {
             let mut known = self.known.borrow_mut();
             sync::answer(pull, &mut known, incarnation, Instant::now())
         };
-        self.propagate(&new, cell);
+        self.propagate(&new, exchange);
         page
     }
 
@@ -172,15 +185,15 @@
         self.cursors.borrow_mut().retain(is_member);
     }
 
-    fn note(&self, fact: Fact, cell: &LoadExchange) {
+    fn record(&self, fact: Fact, exchange: &LoadExchange) {
         if self.known.borrow_mut().note(fact, Instant::now()) {
-            self.propagate(&[fact], cell);
+            self.propagate(&[fact], exchange);
         }
     }
 
-    fn propagate(&self, new: &[Fact], cell: &LoadExchange) {
+    fn propagate(&self, new: &[Fact], exchange: &LoadExchange) {
         if !new.is_empty() {
-            cell.note_change(true);
+            exchange.note_change(true);
             self.publish(new);
         }
     }
@@ -190,11 +203,11 @@
         for fact in new {
             match *fact {
                 Fact::Crash { content, .. } | Fact::Quarantined { content } => {
-                    self.crashes.note();
-                    if let Some(left) = self.quarantine(|| content) {
+                    self.crashes.notify();
+                    if let Some(remaining) = self.quarantine_remaining(|| content) {
                         log::warn!(
                             content:% = format_args!("{content:016x}"),
-                            left_ms = left.as_millis() as u64;
+                            left_ms = remaining.as_millis() as u64;
                             "request quarantined: targets crashed while it was in flight"
                         );
                     }
--- a/crates/lilaccrankd/src/peers/changes.rs
+++ b/crates/lilaccrankd/src/peers/change_signal.rs
@@ -10,20 +10,20 @@
 /// only who already listens: what changed while a daemon told its load was told a quarter of a second
 /// later, and the others sent their requests to targets that were full.
 #[derive(Debug, Default)]
-pub struct Changes {
+pub struct ChangeSignal {
     event: Event,
     is_pending: Cell<bool>,
 }
 
-impl Changes {
+impl ChangeSignal {
     /// Something has changed.
-    pub fn note(&self) {
+    pub fn notify(&self) {
         self.is_pending.set(true);
         self.event.notify(usize::MAX);
     }
 
     /// Completes once something has changed since the last call completed.
-    pub async fn next(&self) {
+    pub async fn changed(&self) {
         while !self.is_pending.take() {
             self.event.listen().await;
         }
--- a/crates/lilaccrankd/src/peers/duties.rs
+++ b/crates/lilaccrankd/src/peers/duties.rs
@@ -8,7 +8,7 @@
 use crate::settings::{Dispatch, Settings};
 
 /// Name of the duty to watch the store.
-const WATCH: &str = "watch/configuration";
+const WATCHER_DUTY: &str = "watch/configuration";
 /// Duties by rendezvous hashing over the live members.
 #[derive(Clone)]
 pub struct Duties {
@@ -39,7 +39,7 @@
         let duty = format!("pool/{pool}");
         let vm = rendezvous::owner(&duty, live.members.iter().map(|m| &m.vm))?;
         let member = live.members.iter().find(|member| member.vm == *vm)?;
-        Some(reference(member))
+        Some(member_ref(member))
     }
 
     /// Whether this daemon watches the store for its data centre.
@@ -47,7 +47,7 @@
     pub fn is_watcher(&self) -> bool {
         let live = self.membership.live();
         let vms = live.members.iter().map(|member| &member.vm);
-        let watchers = rendezvous::top(WATCH, vms, self.watchers);
+        let watchers = rendezvous::top(WATCHER_DUTY, vms, self.watchers);
         watchers.contains(&&self.membership.me().vm)
     }
 
@@ -56,7 +56,7 @@
     pub fn watchers(&self) -> Vec<VmId> {
         let live = self.membership.live();
         let vms = live.members.iter().map(|member| &member.vm);
-        let watchers = rendezvous::top(WATCH, vms, self.watchers);
+        let watchers = rendezvous::top(WATCHER_DUTY, vms, self.watchers);
         watchers.into_iter().cloned().collect()
     }
 
@@ -76,11 +76,11 @@
 impl Ranking for Duties {
     fn is_live(&self, member: &MemberRef) -> bool {
         let live = self.membership.live();
-        live.members.iter().any(|m| reference(m) == *member)
+        live.members.iter().any(|m| member_ref(m) == *member)
     }
 
     fn me(&self) -> MemberRef {
-        reference(&self.membership.me())
+        member_ref(&self.membership.me())
     }
 
     fn ranked(&self, key_hash: u64) -> Vec<MemberRef> {
@@ -91,14 +91,14 @@
         ranked
             .into_iter()
             .filter_map(|vm| live.members.iter().find(|member| member.vm == *vm))
-            .map(reference)
+            .map(member_ref)
             .collect()
     }
 }
 
 /// The life of a member.
 #[must_use]
-pub fn reference(member: &Member) -> MemberRef {
+pub fn member_ref(member: &Member) -> MemberRef {
     MemberRef {
         incarnation: member.incarnation,
         vm: member.vm.clone(),
--- a/crates/lilaccrankd/src/peers/load_exchange.rs
+++ b/crates/lilaccrankd/src/peers/load_exchange.rs
@@ -23,7 +23,7 @@
 use monoio::net::udp::UdpSocket;
 
 use crate::daemon::Daemon;
-use crate::peers::changes::Changes;
+use crate::peers::change_signal::ChangeSignal;
 use crate::peers::load_message::{self, LoadMessage};
 use crate::pools::server;
 
@@ -31,33 +31,33 @@
 const HEARTBEAT: Duration = Duration::from_millis(250);
 /// Time for which changes gather that decide nothing: where targets have room, daemons that see them as
 /// they were a moment ago send to the same ones as those that see them as they are.
-const CALM: Duration = Duration::from_millis(50);
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 /// Shortest time between two datagrams. Some sixty requests a second in all make three changes
 /// each, so that most changes are told at once.
-const LEAST: Duration = Duration::from_millis(10);
+const MIN_SEND_INTERVAL: Duration = Duration::from_millis(10);
 /// What each peer of the cell adds to that time. A cell has fifteen peers at most: a change is
 /// told within 25 ms.
-const FOR_EACH_PEER: Duration = Duration::from_millis(1);
+const INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
 /// Time between two words of a cell to all daemons outside it, at least.
-const CELL_PACE: Duration = Duration::from_millis(500);
+const MIN_CELL_INTERVAL: Duration = Duration::from_millis(500);
 /// What each cell adds to that time: a daemon hears some fifteen of these words a second.
-const FOR_EACH_CELL: Duration = Duration::from_millis(64);
+const INTERVAL_PER_CELL: Duration = Duration::from_millis(64);
 /// Room for one datagram. A daemon's own requests on fifty targets take two kilobytes.
-const BUFFER: usize = 16 << 10;
+const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
 /// The exchange of one daemon.
 #[derive(Default)]
 pub struct LoadExchange {
     /// Changes that can wait for others.
-    calm: Changes,
+    deferrable: ChangeSignal,
     /// The last message of each peer: datagrams may come out of order.
-    heard: RefCell<IndexMap<VmId, (Incarnation, u64)>>,
+    last_received: RefCell<IndexMap<VmId, (Incarnation, u64)>>,
     /// Members by the addresses of their datagrams, as of a version of the membership.
     members: RefCell<(u64, IndexMap<SocketAddr, Member>)>,
     /// Messages that this daemon told.
     sequence: Cell<u64>,
     /// Changes that are told at once.
-    urgent: Changes,
+    urgent: ChangeSignal,
 }
 
 impl LoadExchange {
@@ -65,21 +65,21 @@
     /// would decide otherwise if they knew.
     pub fn note_change(&self, is_urgent: bool) {
         if is_urgent {
-            self.urgent.note();
+            self.urgent.notify();
         } else {
-            self.calm.note();
+            self.deferrable.notify();
         }
     }
 
     /// Completes when there is something to tell.
     async fn changed(&self) {
-        let urgent = self.urgent.next();
-        let calm = async {
-            self.calm.next().await;
-            monoio::time::sleep(CALM).await;
+        let urgent = self.urgent.changed();
+        let deferrable = async {
+            self.deferrable.changed().await;
+            monoio::time::sleep(BATCH_DELAY).await;
         };
-        pin_mut!(urgent, calm);
-        future::select(urgent, calm).await;
+        pin_mut!(urgent, deferrable);
+        future::select(urgent, deferrable).await;
     }
 
     /// The member whose datagrams come from this address. Where a later vm has the address of one that
@@ -97,19 +97,21 @@
     }
 
     /// Forgets the order of messages of daemons that are members no more.
-    fn forget(&self, is_member: impl Fn(&VmId) -> bool) {
-        self.heard.borrow_mut().retain(|vm, _| is_member(vm));
+    fn retain_members(&self, is_member: impl Fn(&VmId) -> bool) {
+        self.last_received
+            .borrow_mut()
+            .retain(|vm, _| is_member(vm));
     }
 
     /// Whether a message is newer than the last one of its sender.
     fn is_new(&self, vm: &VmId, message: &LoadMessage) -> bool {
-        let place = (message.incarnation, message.sequence);
-        let mut heard = self.heard.borrow_mut();
-        let last = heard.get(vm);
-        if last.is_some_and(|last| place <= *last) {
+        let position = (message.incarnation, message.sequence);
+        let mut last_received = self.last_received.borrow_mut();
+        let last = last_received.get(vm);
+        if last.is_some_and(|last| position <= *last) {
             return false;
         }
-        heard.insert(vm.clone(), place);
+        last_received.insert(vm.clone(), position);
         true
     }
 }
@@ -126,8 +128,8 @@
 /// Tells and hears for as long as the daemon runs.
 pub async fn run(daemon: Rc<Daemon>, socket: UdpSocket) {
     let socket = Rc::new(socket);
-    monoio::spawn(hear(Rc::clone(&daemon), Rc::clone(&socket)));
-    monoio::spawn(speak_for_cell(Rc::clone(&daemon), Rc::clone(&socket)));
+    monoio::spawn(receive(Rc::clone(&daemon), Rc::clone(&socket)));
+    monoio::spawn(report_cell_demand(Rc::clone(&daemon), Rc::clone(&socket)));
     loop {
         let changed = daemon.load_exchange.changed();
         let _ = monoio::time::timeout(HEARTBEAT, changed).await;
@@ -136,38 +138,38 @@
         if !is_needed(&daemon) {
             continue;
         }
-        let (near, _) = peers(&daemon);
+        let (cell_peers, _) = peers(&daemon);
         let pools = match daemon.duties.is_dispatch_local() {
             true => server::digests(&daemon),
             false => Vec::new(),
         };
         let spent = daemon.quotas.report();
-        tell(&daemon, &socket, pools, spent, &near).await;
-        monoio::time::sleep(LEAST + FOR_EACH_PEER * count(&near)).await;
+        send_update(&daemon, &socket, pools, spent, &cell_peers).await;
+        monoio::time::sleep(MIN_SEND_INTERVAL + INTERVAL_PER_PEER * count(&cell_peers)).await;
     }
 }
 
 /// Tells all daemons what is asked of this cell, while this daemon speaks for it.
-async fn speak_for_cell(daemon: Rc<Daemon>, socket: Rc<UdpSocket>) {
+async fn report_cell_demand(daemon: Rc<Daemon>, socket: Rc<UdpSocket>) {
     loop {
         let cells = u32::from(server::cell(&daemon).id().count);
-        let pace = CELL_PACE.max(FOR_EACH_CELL * cells);
-        daemon.quotas.set_report_interval(pace);
+        let interval = MIN_CELL_INTERVAL.max(INTERVAL_PER_CELL * cells);
+        daemon.quotas.set_report_interval(interval);
         let membership = &daemon.membership;
         daemon
             .load_exchange
-            .forget(|vm| membership.find(vm).is_some());
+            .retain_members(|vm| membership.find(vm).is_some());
         daemon.advisories.retain(|vm| membership.find(vm).is_some());
-        monoio::time::sleep(pace).await;
+        monoio::time::sleep(interval).await;
         let cell = server::cell(&daemon);
         let me = &daemon.cfg.vm;
         if cell.id().count < 2 || cell.speaker(me) != me || !is_needed(&daemon) {
             continue;
         }
         let demand = daemon.quotas.cell_demand();
-        let (near, others) = peers(&daemon);
+        let (cell_peers, others) = peers(&daemon);
         let rates = demand.rates.into_iter();
-        let rates = rates.map(|(id, per_s)| (load_message::customer(&id), per_s));
+        let rates = rates.map(|(id, per_s)| (load_message::customer_digest(&id), per_s));
         let message = LoadMessage {
             cell_demand: Some(CellDemand {
                 cell: demand.cell,
@@ -176,7 +178,7 @@
             }),
             ..empty_message(&daemon)
         };
-        send(&daemon, &socket, &message, near.iter().chain(&others)).await;
+        send(&daemon, &socket, &message, cell_peers.iter().chain(&others)).await;
     }
 }
 
@@ -196,17 +198,17 @@
     let me = daemon.duties.me().vm;
     let live = daemon.membership.live();
     let others = live.members.iter().filter(|member| member.vm != me);
-    let (near, far): (Vec<&Member>, Vec<&Member>) =
-        others.partition(|member| is_near(daemon, &member.vm));
+    let (cell_peers, rest): (Vec<&Member>, Vec<&Member>) =
+        others.partition(|member| is_cell_peer(daemon, &member.vm));
     let addresses = |members: Vec<&Member>| members.iter().map(|member| member.peers).collect();
-    (addresses(near), addresses(far))
+    (addresses(cell_peers), addresses(rest))
 }
 
-fn is_near(daemon: &Daemon, vm: &VmId) -> bool {
+fn is_cell_peer(daemon: &Daemon, vm: &VmId) -> bool {
     !daemon.duties.is_dispatch_local() || server::cell(daemon).mates().contains(vm)
 }
 
-async fn tell(
+async fn send_update(
     daemon: &Daemon,
     socket: &UdpSocket,
     pools: Vec<(PoolId, Digest)>,
@@ -217,11 +219,11 @@
         advisories: daemon.advisories.take_updates(),
         pools: pools
             .into_iter()
-            .map(|(id, digest)| (load_message::pool(&id), digest))
+            .map(|(id, digest)| (load_message::pool_digest(&id), digest))
             .collect(),
         spent: spent
             .into_iter()
-            .map(|(id, spent)| (load_message::customer(&id), spent))
+            .map(|(id, spent)| (load_message::customer_digest(&id), spent))
             .collect(),
         ..empty_message(daemon)
     };
@@ -268,9 +270,9 @@
     tally.send_messages(1);
 }
 
-async fn hear(daemon: Rc<Daemon>, socket: Rc<UdpSocket>) {
+async fn receive(daemon: Rc<Daemon>, socket: Rc<UdpSocket>) {
     loop {
-        let (received, mut buf) = socket.recv_from(vec![0; BUFFER]).await;
+        let (received, mut buf) = socket.recv_from(vec![0; MAX_DATAGRAM_BYTES]).await;
         let (len, from) = match received {
             Ok(received) => received,
             Err(e) => {
@@ -283,13 +285,13 @@
         daemon.traffic.load_exchange.receive_messages(1);
         let member = |from| daemon.load_exchange.member(&daemon.membership, from);
         match LoadMessage::read(&buf, from, member) {
-            Ok((vm, message)) => take(&daemon, &vm, message),
+            Ok((vm, message)) => apply(&daemon, &vm, message),
             Err(e) => log::debug!("a word about load is not believed: {e}"),
         }
     }
 }
 
-fn take(daemon: &Rc<Daemon>, vm: &VmId, message: LoadMessage) {
+fn apply(daemon: &Rc<Daemon>, vm: &VmId, message: LoadMessage) {
     if !daemon.load_exchange.is_new(vm, &message) {
         return;
     }
@@ -306,7 +308,7 @@
             rates: rates.collect(),
         });
     }
-    if is_near(daemon, vm) {
+    if is_cell_peer(daemon, vm) {
         let spent = message.spent.into_iter();
         let named = |(id, spent)| Some((in_force.customer(id)?.clone(), spent));
         let spent: Vec<_> = spent.filter_map(named).collect();
@@ -315,9 +317,9 @@
     if message.ending {
         daemon.quotas.remove_peer(vm);
     }
-    for (digest, told) in message.pools {
-        if let Some(pool) = in_force.pool(digest) {
-            server::take_digest(daemon, pool, vm, told);
+    for (pool_digest, load) in message.pools {
+        if let Some(pool) = in_force.pool(pool_digest) {
+            server::apply_digest(daemon, pool, vm, load);
         }
     }
 }
--- a/crates/lilaccrankd/src/peers/load_message.rs
+++ b/crates/lilaccrankd/src/peers/load_message.rs
@@ -30,7 +30,7 @@
 pub enum Error {
     /// The sender has started again since.
     #[error("{vm} has started again since it said this")]
-    EarlierLife {
+    StaleIncarnation {
         /// Who says it.
         vm: VmId,
     },
@@ -39,7 +39,7 @@
     Unreadable(#[from] rmp_serde::decode::Error),
     /// No member has the sender's address.
     #[error("no member has the address {from}")]
-    Unknown {
+    UnknownSender {
         /// Where it came from.
         from: SocketAddr,
     },
@@ -76,9 +76,9 @@
         member: impl FnOnce(SocketAddr) -> Option<Member>,
     ) -> Result<(VmId, Self)> {
         let message: Self = rmp_serde::from_slice(datagram)?;
-        let member = member(from).ok_or(Error::Unknown { from })?;
+        let member = member(from).ok_or(Error::UnknownSender { from })?;
         if message.incarnation < member.incarnation {
-            return Err(Error::EarlierLife { vm: member.vm });
+            return Err(Error::StaleIncarnation { vm: member.vm });
         }
         Ok((member.vm, message))
     }
@@ -86,12 +86,12 @@
 
 /// The digest of a customer.
 #[must_use]
-pub fn customer(id: &str) -> CustomerDigest {
+pub fn customer_digest(id: &str) -> CustomerDigest {
     xxh3::xxh3_64(id.as_bytes())
 }
 
 /// The digest of a pool.
 #[must_use]
-pub fn pool(id: &str) -> PoolDigest {
+pub fn pool_digest(id: &str) -> PoolDigest {
     xxh3::xxh3_64(id.as_bytes()) as PoolDigest
 }
--- a/crates/lilaccrankd/src/peers/message.rs
+++ b/crates/lilaccrankd/src/peers/message.rs
@@ -76,7 +76,7 @@
 
 /// Asks a watcher what it knows.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct FeedAsk {
+pub struct FeedRequest {
     /// Sync of advisories.
     pub advisories: sync::Pull,
     /// Revision of the list of targets that the asker has.
@@ -104,11 +104,11 @@
 
 /// Asks which configuration a daemon holds.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-pub struct HeldAsk;
+pub struct HeldConfigurationRequest;
 
 /// Tells which configuration a daemon holds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Held {
+pub struct HeldConfiguration {
     /// Its name, `None` before the first one.
     pub identity: Option<Identity>,
 }
@@ -125,11 +125,11 @@
     /// About a configuration.
     Configuration(exchange::Ask),
     /// Which configuration is held.
-    Held(HeldAsk),
+    Held(HeldConfigurationRequest),
     /// About a request key.
     Key(KeyRequest),
     /// What a watcher knows.
-    Feed(FeedAsk),
+    Feed(FeedRequest),
     /// About an order to a target.
     Order(OrderRequest),
     /// About a pool.
@@ -144,7 +144,7 @@
     /// Nothing to tell.
     Done(Done),
     /// Which configuration is held.
-    Held(Held),
+    Held(HeldConfiguration),
     /// About a request key.
     Key(KeyReply),
     /// What a watcher knows.
--- a/crates/lilaccrankd/src/peers/network.rs
+++ b/crates/lilaccrankd/src/peers/network.rs
@@ -17,8 +17,8 @@
 
 use crate::orders::message::{OrderReply, OrderRequest};
 use crate::peers::message::{
-    Announcement, Done, Feed, FeedAsk, Held, HeldAsk, PeerReply, PeerRequest, PoolReply,
-    PoolRequest, Stamped,
+    Announcement, Done, Feed, FeedRequest, HeldConfiguration, HeldConfigurationRequest, PeerReply,
+    PeerRequest, PoolReply, PoolRequest, Stamped,
 };
 use crate::peers::traffic::Traffic;
 
@@ -31,7 +31,7 @@
 /// circle until all three calls time out. Calls that wait for nobody have connections of their
 /// own, so each circle is cut.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Lane {
+enum Channel {
     /// About configurations; these may be large.
     Configuration,
     /// Between the holders of records; answered without asking anybody.
@@ -42,25 +42,25 @@
     Pools,
 }
 
-fn lane(req: &KeyRequest) -> Lane {
+fn key_channel(req: &KeyRequest) -> Channel {
     match req {
         KeyRequest::Copy { .. } | KeyRequest::Handover { .. } | KeyRequest::Push { .. } => {
-            Lane::Copies
+            Channel::Copies
         }
         KeyRequest::Claim { .. }
         | KeyRequest::End { .. }
         | KeyRequest::Mark { .. }
-        | KeyRequest::Release { .. } => Lane::Keys,
+        | KeyRequest::Release { .. } => Channel::Keys,
     }
 }
 
 /// Links to the members of the data centre; clones share them.
 #[derive(Clone)]
 pub struct PeerNetwork {
-    links: Rc<RefCell<IndexMap<(SocketAddr, Lane), Link>>>,
+    links: Rc<RefCell<IndexMap<(SocketAddr, Channel), Link>>>,
     membership: Membership,
     /// Daemons of other data centres.
-    others: Rc<[SocketAddr]>,
+    remote_daemons: Rc<[SocketAddr]>,
     timeline: Timeline<MonoioClock>,
     traffic: Rc<Traffic>,
 }
@@ -70,14 +70,14 @@
     #[must_use]
     pub fn new(
         membership: Membership,
-        others: Rc<[SocketAddr]>,
+        remote_daemons: Rc<[SocketAddr]>,
         timeline: Timeline<MonoioClock>,
         traffic: Rc<Traffic>,
     ) -> Self {
         Self {
             links: Rc::default(),
             membership,
-            others,
+            remote_daemons,
             timeline,
             traffic,
         }
@@ -86,16 +86,16 @@
     /// Drops links to addresses that no member has any more.
     pub fn prune(&self) {
         let members = self.membership.all();
-        let known = |address: SocketAddr| {
-            members.iter().any(|m| m.peers == address) || self.others.contains(&address)
+        let is_known = |address: SocketAddr| {
+            members.iter().any(|m| m.peers == address) || self.remote_daemons.contains(&address)
         };
         self.links
             .borrow_mut()
-            .retain(|(address, _), _| known(*address));
+            .retain(|(address, _), _| is_known(*address));
     }
 
-    async fn send(&self, vm: &VmId, lane: Lane, req: PeerRequest) -> Result<PeerReply> {
-        let link = self.link(vm, lane)?;
+    async fn send(&self, vm: &VmId, channel: Channel, req: PeerRequest) -> Result<PeerReply> {
+        let link = self.link(vm, channel)?;
         let stamped = Stamped {
             message: req,
             stamp: self.timeline.stamp(),
@@ -114,24 +114,24 @@
         }
     }
 
-    fn link(&self, vm: &VmId, lane: Lane) -> Result<Link> {
+    fn link(&self, vm: &VmId, channel: Channel) -> Result<Link> {
         let address = self
             .address(vm)
             .ok_or_else(|| Error::Unreachable(vm.clone()))?;
         let mut links = self.links.borrow_mut();
-        let link = links.entry((address, lane)).or_insert_with(|| {
-            let tally = self.tally(lane).clone();
+        let link = links.entry((address, channel)).or_insert_with(|| {
+            let tally = self.tally(channel).clone();
             Link::start(vm.clone(), address.to_string(), tally)
         });
         Ok(link.clone())
     }
 
-    fn tally(&self, lane: Lane) -> &Tally {
-        match lane {
-            Lane::Configuration => &self.traffic.peer_configuration,
-            Lane::Copies => &self.traffic.peer_copies,
-            Lane::Keys => &self.traffic.peer_keys,
-            Lane::Pools => &self.traffic.peer_pools,
+    fn tally(&self, channel: Channel) -> &Tally {
+        match channel {
+            Channel::Configuration => &self.traffic.peer_configuration,
+            Channel::Copies => &self.traffic.peer_copies,
+            Channel::Keys => &self.traffic.peer_keys,
+            Channel::Pools => &self.traffic.peer_pools,
         }
     }
 
@@ -149,49 +149,49 @@
 
 impl Peers<Announcement, Done> for PeerNetwork {
     async fn call(&self, vm: &VmId, req: Announcement) -> Result<Done> {
-        let reply = self.send(vm, Lane::Configuration, req.into()).await?;
+        let reply = self.send(vm, Channel::Configuration, req.into()).await?;
         reply.try_into().map_err(|_| Error::NoAnswer(vm.clone()))
     }
 }
 
 impl Peers<exchange::Ask, exchange::Answer> for PeerNetwork {
     async fn call(&self, vm: &VmId, req: exchange::Ask) -> Result<exchange::Answer> {
-        let reply = self.send(vm, Lane::Configuration, req.into()).await?;
+        let reply = self.send(vm, Channel::Configuration, req.into()).await?;
         reply.try_into().map_err(|_| Error::NoAnswer(vm.clone()))
     }
 }
 
-impl Peers<HeldAsk, Held> for PeerNetwork {
-    async fn call(&self, vm: &VmId, req: HeldAsk) -> Result<Held> {
-        let reply = self.send(vm, Lane::Configuration, req.into()).await?;
+impl Peers<HeldConfigurationRequest, HeldConfiguration> for PeerNetwork {
+    async fn call(&self, vm: &VmId, req: HeldConfigurationRequest) -> Result<HeldConfiguration> {
+        let reply = self.send(vm, Channel::Configuration, req.into()).await?;
         reply.try_into().map_err(|_| Error::NoAnswer(vm.clone()))
     }
 }
 
-impl Peers<FeedAsk, Feed> for PeerNetwork {
-    async fn call(&self, vm: &VmId, req: FeedAsk) -> Result<Feed> {
-        let reply = self.send(vm, Lane::Configuration, req.into()).await?;
+impl Peers<FeedRequest, Feed> for PeerNetwork {
+    async fn call(&self, vm: &VmId, req: FeedRequest) -> Result<Feed> {
+        let reply = self.send(vm, Channel::Configuration, req.into()).await?;
         reply.try_into().map_err(|_| Error::NoAnswer(vm.clone()))
     }
 }
 
 impl Peers<KeyRequest, KeyReply> for PeerNetwork {
     async fn call(&self, vm: &VmId, req: KeyRequest) -> Result<KeyReply> {
-        let reply = self.send(vm, lane(&req), req.into()).await?;
+        let reply = self.send(vm, key_channel(&req), req.into()).await?;
         reply.try_into().map_err(|_| Error::NoAnswer(vm.clone()))
     }
 }
 
 impl Peers<OrderRequest, OrderReply> for PeerNetwork {
     async fn call(&self, vm: &VmId, req: OrderRequest) -> Result<OrderReply> {
-        let reply = self.send(vm, Lane::Pools, req.into()).await?;
+        let reply = self.send(vm, Channel::Pools, req.into()).await?;
         reply.try_into().map_err(|_| Error::NoAnswer(vm.clone()))
     }
 }
 
 impl Peers<PoolRequest, PoolReply> for PeerNetwork {
     async fn call(&self, vm: &VmId, req: PoolRequest) -> Result<PoolReply> {
-        let reply = self.send(vm, Lane::Pools, req.into()).await?;
+        let reply = self.send(vm, Channel::Pools, req.into()).await?;
         reply.try_into().map_err(|_| Error::NoAnswer(vm.clone()))
     }
 }
--- a/crates/lilaccrankd/src/peers/quarantine_record.rs
+++ b/crates/lilaccrankd/src/peers/quarantine_record.rs
@@ -21,37 +21,37 @@
 /// Name of the duty to synchronize it.
 const DUTY: &str = "quarantine-record";
 /// Daemons with that duty; the store may reject one of them.
-const KEEPERS: usize = 2;
+const WRITER_COUNT: usize = 2;
 /// Shortest time between two reads of the record.
-const PAUSE: Duration = Duration::from_secs(1);
+const MIN_SYNC_INTERVAL: Duration = Duration::from_secs(1);
 /// First and highest ceiling of the wait after a failed call.
-const FIRST_WAIT: Duration = Duration::from_millis(100);
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const BASE_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// Runs for as long as the daemon does.
 pub async fn run(daemon: Rc<Daemon>) {
     loop {
-        daemon.advisories.crashes().next().await;
-        if !is_keeper(&daemon) {
+        daemon.advisories.crashes().changed().await;
+        if !is_writer(&daemon) {
             continue;
         }
-        let mut backoff = Backoff::new(FIRST_WAIT, LONGEST_WAIT);
+        let mut backoff = Backoff::new(BASE_BACKOFF, MAX_BACKOFF);
         while let Err(e) = synchronise(&daemon).await {
             log::warn!(why:% = e; "the record of quarantines could not be synchronized");
             monoio::time::sleep(backoff.next_wait()).await;
-            if !is_keeper(&daemon) || !daemon.advisories.has_crashes() {
+            if !is_writer(&daemon) || !daemon.advisories.has_crashes() {
                 break;
             }
         }
-        monoio::time::sleep(PAUSE).await;
+        monoio::time::sleep(MIN_SYNC_INTERVAL).await;
     }
 }
 
-fn is_keeper(daemon: &Daemon) -> bool {
+fn is_writer(daemon: &Daemon) -> bool {
     let live = daemon.membership.live();
     let vms = live.members.iter().map(|member| &member.vm);
-    let keepers: Vec<&VmId> = rendezvous::top(DUTY, vms, KEEPERS);
-    keepers.contains(&&daemon.cfg.vm)
+    let writers: Vec<&VmId> = rendezvous::top(DUTY, vms, WRITER_COUNT);
+    writers.contains(&&daemon.cfg.vm)
 }
 
 /// Merges the record and adds the quarantines that it lacks.
@@ -63,7 +63,9 @@
     let mut record = found.as_ref().map(read).unwrap_or_default();
     let now = MonoioClock.wall();
     let recorded: Vec<_> = record.current(now).collect();
-    daemon.advisories.recorded(&recorded, &daemon.load_exchange);
+    daemon
+        .advisories
+        .merge_stored(&recorded, &daemon.load_exchange);
     let mut missing = daemon.advisories.quarantined();
     missing.retain(|(content, _)| recorded.iter().all(|(known, _)| known != content));
     if missing.is_empty() {
--- a/crates/lilaccrankd/src/peers/udp_gossip.rs
+++ b/crates/lilaccrankd/src/peers/udp_gossip.rs
@@ -8,7 +8,7 @@
 use monoio::net::udp::UdpSocket;
 
 /// Room for one datagram; members send at most [`lilaccrank::membership::DATAGRAM_LIMIT`].
-const BUFFER: usize = 2_048;
+const BUFFER_BYTES: usize = 2_048;
 
 /// A bound UDP socket.
 pub struct UdpGossip {
@@ -26,7 +26,7 @@
 
 impl Datagrams for UdpGossip {
     async fn recv(&self) -> datagrams::Result<Datagram> {
-        let (received, mut bytes) = self.socket.recv_from(vec![0; BUFFER]).await;
+        let (received, mut bytes) = self.socket.recv_from(vec![0; BUFFER_BYTES]).await;
         let (len, from) = received?;
         bytes.truncate(len);
         self.tally.receive_bytes(len);
--- a/crates/lilaccrankd/src/pools/client.rs
+++ b/crates/lilaccrankd/src/pools/client.rs
@@ -15,26 +15,26 @@
 use crate::peers::message::{PoolMessage, PoolReply, PoolRequest};
 use crate::pools::server;
 
-mod held;
+mod held_grant;
 mod outstanding;
 
-pub use held::Held;
+pub use held_grant::HeldGrant;
 pub use outstanding::PoolClient;
 
-use held::WaitingAsk;
+use held_grant::WaitingAsk;
 
 /// An ask without a verdict is repeated after this long. A verdict may be lost with a connection
 /// that dies; repeating an ask with its number gives the same verdict again.
-const ASK_AGAIN: Duration = Duration::from_secs(3);
+const ASK_RETRY_INTERVAL: Duration = Duration::from_secs(3);
 /// Wait before another try to reach a dispatcher; the members may be about to change.
-const PLACE_AGAIN: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Asks for a target and waits for the verdict. Dropping the future takes the ask back.
 ///
 /// # Errors
 ///
 /// The dispatcher's refusal.
-pub async fn ask(daemon: &Rc<Daemon>, pool: &PoolId, ask: Ask) -> Result<Held, Refuse> {
+pub async fn ask(daemon: &Rc<Daemon>, pool: &PoolId, ask: Ask) -> Result<HeldGrant, Refuse> {
     let request = ask.request.clone();
     let (tx, mut rx) = oneshot::channel();
     daemon.pool_client.insert(pool, ask, tx);
@@ -42,20 +42,20 @@
         daemon,
         pool,
         request: &request,
-        settled: false,
+        is_decided: false,
     };
     let verdict = loop {
-        place(daemon, &request).await;
-        let again = monoio::time::sleep(ASK_AGAIN);
-        pin_mut!(again);
-        match future::select(&mut rx, again).await {
+        submit(daemon, &request).await;
+        let retry = monoio::time::sleep(ASK_RETRY_INTERVAL);
+        pin_mut!(retry);
+        match future::select(&mut rx, retry).await {
             Either::Left((verdict, _)) => break verdict,
             Either::Right(_) => {}
         }
     };
-    waiting.settled = true;
+    waiting.is_decided = true;
     match verdict {
-        Ok(Verdict::Grant(grant)) => Ok(Held::new(daemon, pool, grant)),
+        Ok(Verdict::Grant(grant)) => Ok(HeldGrant::new(daemon, pool, grant)),
         Ok(Verdict::Refuse(refuse)) => {
             daemon.pool_client.remove(&request);
             Err(refuse)
@@ -74,7 +74,7 @@
 }
 
 /// Sends the ask to the pool's dispatcher, until one takes it.
-async fn place(daemon: &Rc<Daemon>, request: &RequestId) {
+async fn submit(daemon: &Rc<Daemon>, request: &RequestId) {
     loop {
         let Some((pool, dispatcher, ask)) = daemon.pool_client.next_ask(daemon, request) else {
             return;
@@ -87,7 +87,7 @@
             known.borrow_mut().insert(pool, waiting);
             return;
         }
-        monoio::time::sleep(PLACE_AGAIN).await;
+        monoio::time::sleep(RETRY_DELAY).await;
     }
 }
 
@@ -110,7 +110,7 @@
 
 /// Sends a message to the present dispatcher of a pool, once. What is lost here is told again
 /// by the next resync, or lapses at the dispatcher.
-fn tell(daemon: &Rc<Daemon>, pool: &PoolId, message: PoolMessage) {
+fn notify(daemon: &Rc<Daemon>, pool: &PoolId, message: PoolMessage) {
     let Some(dispatcher) = daemon.duties.dispatcher(pool) else {
         return;
     };
@@ -123,18 +123,18 @@
 
 /// Takes in a verdict; whether a grant is used.
 pub fn on_verdict(daemon: &Daemon, from: &MemberRef, verdict: Verdict) -> bool {
-    daemon.pool_client.settle(from, verdict)
+    daemon.pool_client.apply_verdict(from, verdict)
 }
 
 /// Tells the new dispatcher of each pool what this daemon has with it, whenever dispatchers or
 /// this daemon's own life change.
-pub fn rebalance(daemon: &Rc<Daemon>) {
+pub fn resync_dispatchers(daemon: &Rc<Daemon>) {
     let Ok(in_force) = daemon.in_force() else {
         return;
     };
     daemon.pool_client.refuse_removed(&in_force.document);
     let me = daemon.duties.me();
-    let new_life = daemon.pool_client.me.replace(Some(me.clone())) != Some(me);
+    let is_new_incarnation = daemon.pool_client.me.replace(Some(me.clone())) != Some(me);
     for pool in &in_force.document.pools {
         let Some(dispatcher) = daemon.duties.dispatcher(&pool.id) else {
             continue;
@@ -142,7 +142,7 @@
         let mut dispatchers = daemon.pool_client.dispatchers.borrow_mut();
         let known = dispatchers.insert(pool.id.clone(), dispatcher.clone());
         drop(dispatchers);
-        if known.as_ref() != Some(&dispatcher) || new_life {
+        if known.as_ref() != Some(&dispatcher) || is_new_incarnation {
             monoio::spawn(resync(Rc::clone(daemon), pool.id.clone(), dispatcher));
         }
     }
@@ -156,6 +156,6 @@
         if matches!(reply, Some(PoolReply::Accepted { .. })) {
             return;
         }
-        monoio::time::sleep(PLACE_AGAIN).await;
+        monoio::time::sleep(RETRY_DELAY).await;
     }
 }
--- a/crates/lilaccrankd/src/pools/client/held.rs
+++ b/crates/lilaccrankd/src/pools/client/held_grant.rs
@@ -11,7 +11,7 @@
 use crate::peers::message::PoolMessage;
 
 /// A used grant; dropping it without [`ended`](Self::ended) returns it unused.
-pub struct Held {
+pub struct HeldGrant {
     ask: u64,
     daemon: Rc<Daemon>,
     ended: bool,
@@ -28,12 +28,12 @@
     pub(super) daemon: &'a Rc<Daemon>,
     pub(super) pool: &'a PoolId,
     pub(super) request: &'a RequestId,
-    pub(super) settled: bool,
+    pub(super) is_decided: bool,
 }
 
 impl Drop for WaitingAsk<'_> {
     fn drop(&mut self) {
-        if self.settled {
+        if self.is_decided {
             return;
         }
         if let Some(ask) = self.daemon.pool_client.remove(self.request) {
@@ -41,12 +41,12 @@
                 ask: ask.ask,
                 request: ask.request,
             };
-            super::tell(self.daemon, self.pool, PoolMessage::Cancel(cancel));
+            super::notify(self.daemon, self.pool, PoolMessage::Cancel(cancel));
         }
     }
 }
 
-impl Held {
+impl HeldGrant {
     pub(super) fn new(daemon: &Rc<Daemon>, pool: &PoolId, grant: Grant) -> Self {
         Self {
             ask: grant.ask,
@@ -61,18 +61,18 @@
 
     /// Tells what was seen of the request.
     pub fn report(&self, kind: ReportKind) {
-        self.daemon.pool_client.note(&self.request, &kind);
+        self.daemon.pool_client.record_report(&self.request, &kind);
         let report = Report {
             ask: self.ask,
             kind,
             request: self.request.clone(),
             target: self.target.clone(),
         };
-        super::tell(&self.daemon, &self.pool, PoolMessage::Report(report));
+        super::notify(&self.daemon, &self.pool, PoolMessage::Report(report));
     }
 
     /// Gives the slot back.
-    pub fn ended(mut self, outcome: Outcome, decoded: u32, prefill: Option<u32>) {
+    pub fn finish(mut self, outcome: Outcome, decoded: u32, prefill: Option<u32>) {
         self.end(outcome, decoded, prefill);
     }
 
@@ -87,7 +87,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for HeldGrant {
     fn drop(&mut self) {
         if !self.ended {
             self.end(Outcome::Unused, 0, None);
--- a/crates/lilaccrankd/src/pools/client/outstanding.rs
+++ b/crates/lilaccrankd/src/pools/client/outstanding.rs
@@ -52,12 +52,12 @@
     pub(super) fn insert(&self, pool: &PoolId, ask: Ask, verdict: oneshot::Sender<Verdict>) {
         let now = Instant::now();
         let outstanding = Outstanding {
-            deadline: ask.deadline.map(|left| now + left),
+            deadline: ask.deadline.map(|remaining| now + remaining),
             dispatcher: None,
             pool: pool.clone(),
             running: None,
             verdict: Some(verdict),
-            wait_until: ask.wait_at_most.map(|left| now + left),
+            wait_until: ask.wait_at_most.map(|remaining| now + remaining),
             ask,
         };
         let request = outstanding.ask.request.clone();
@@ -70,19 +70,19 @@
     }
 
     /// Takes in a verdict; whether a grant is used.
-    pub(super) fn settle(&self, from: &MemberRef, verdict: Verdict) -> bool {
+    pub(super) fn apply_verdict(&self, from: &MemberRef, verdict: Verdict) -> bool {
         let request = match &verdict {
             Verdict::Grant(grant) => &grant.request,
             Verdict::Refuse(refuse) => &refuse.request,
         };
         let mut requests = self.requests.borrow_mut();
         match requests.get_mut(request) {
-            Some(outstanding) => outstanding.settle(from, verdict),
+            Some(outstanding) => outstanding.apply_verdict(from, verdict),
             None => false,
         }
     }
 
-    pub(super) fn note(&self, request: &RequestId, kind: &ReportKind) {
+    pub(super) fn record_report(&self, request: &RequestId, kind: &ReportKind) {
         let mut requests = self.requests.borrow_mut();
         let Some(running) = requests.get_mut(request).and_then(|r| r.running.as_mut()) else {
             return;
@@ -111,7 +111,7 @@
             return None;
         }
         let dispatcher = daemon.duties.dispatcher(&outstanding.pool)?;
-        outstanding.address_to(&dispatcher, &daemon.duties.me());
+        outstanding.assign_to(&dispatcher, &daemon.duties.me());
         let ask = outstanding.ask.clone();
         Some((outstanding.pool.clone(), dispatcher, ask))
     }
@@ -144,7 +144,7 @@
                     target: on.target.clone(),
                 });
             } else {
-                outstanding.address_to(dispatcher, &me);
+                outstanding.assign_to(dispatcher, &me);
                 waiting.push(outstanding.ask.clone());
             }
         }
@@ -162,18 +162,18 @@
 
 impl Outstanding {
     /// Makes the ask one to `dispatcher`; asking another one voids the earlier ask.
-    fn address_to(&mut self, dispatcher: &MemberRef, me: &MemberRef) {
-        let moved = self.dispatcher.as_ref() != Some(dispatcher);
-        let new_life = self.ask.entry_incarnation != me.incarnation;
-        if moved || new_life {
+    fn assign_to(&mut self, dispatcher: &MemberRef, me: &MemberRef) {
+        let is_other_dispatcher = self.dispatcher.as_ref() != Some(dispatcher);
+        let is_new_incarnation = self.ask.entry_incarnation != me.incarnation;
+        if is_other_dispatcher || is_new_incarnation {
             self.ask.ask += 1;
             self.ask.entry_incarnation = me.incarnation;
             self.dispatcher = Some(dispatcher.clone());
         }
         let now = Instant::now();
-        let left = |until: Instant| until.saturating_duration_since(now);
-        self.ask.deadline = self.deadline.map(left);
-        self.ask.wait_at_most = self.wait_until.map(left);
+        let remaining = |until: Instant| until.saturating_duration_since(now);
+        self.ask.deadline = self.deadline.map(remaining);
+        self.ask.wait_at_most = self.wait_until.map(remaining);
     }
 
     fn refuse_removed(&mut self) {
@@ -189,14 +189,14 @@
         }
     }
 
-    fn settle(&mut self, from: &MemberRef, verdict: Verdict) -> bool {
-        let number = match &verdict {
+    fn apply_verdict(&mut self, from: &MemberRef, verdict: Verdict) -> bool {
+        let ask_number = match &verdict {
             Verdict::Grant(grant) => grant.ask,
             Verdict::Refuse(refuse) => refuse.ask,
         };
         // A dispatcher that was frozen or cut off may still grant what it was asked before another
         // took over; both grants would send the request twice. Only the last one asked counts.
-        if self.ask.ask != number || self.dispatcher.as_ref() != Some(from) {
+        if self.ask.ask != ask_number || self.dispatcher.as_ref() != Some(from) {
             return false;
         }
         if let (Some(running), Verdict::Grant(grant)) = (&self.running, &verdict) {
--- a/crates/lilaccrankd/src/pools/poller.rs
+++ b/crates/lilaccrankd/src/pools/poller.rs
@@ -19,12 +19,12 @@
 use serde::de::DeserializeOwned;
 
 use crate::daemon::Daemon;
-use crate::pools::server::Served;
+use crate::pools::server::ServedPool;
 
 /// Time between two readings of one target. Reports only correct the dispatcher's own estimate;
 /// at half a second the readings of twenty engines cost twice what a daemon may spend on all of
 /// its control.
-const EVERY: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Time for one reading.
 const LIMITS: Limits = Limits {
     connect: Duration::from_millis(300),
@@ -41,7 +41,7 @@
 }
 
 #[derive(Deserialize)]
-struct Published {
+struct CacheEventEntry {
     digest: u64,
     kind: Kind,
     seq: u64,
@@ -55,7 +55,7 @@
 }
 
 /// Polls for as long as this daemon dispatches the pool.
-pub async fn run(daemon: Rc<Daemon>, served: Rc<Served>, pool: PoolId) {
+pub async fn run(daemon: Rc<Daemon>, served: Rc<ServedPool>, pool: PoolId) {
     let polling = poll(&daemon, &served, &pool);
     let retired = served.retired();
     pin_mut!(polling, retired);
@@ -64,21 +64,21 @@
     }
 }
 
-async fn poll(daemon: &Rc<Daemon>, served: &Rc<Served>, pool: &PoolId) {
-    let mut seen: IndexMap<TargetId, u64> = IndexMap::new();
+async fn poll(daemon: &Rc<Daemon>, served: &Rc<ServedPool>, pool: &PoolId) {
+    let mut last_seqs: IndexMap<TargetId, u64> = IndexMap::new();
     loop {
         let Some(targets) = engines(daemon, pool) else {
             return;
         };
         let readings = targets.iter().map(|target| {
-            let after = seen.get(&target.id).copied().unwrap_or(0);
+            let after = last_seqs.get(&target.id).copied().unwrap_or(0);
             read_target(daemon, served, target, after)
         });
         let read = future::join_all(readings).await;
         for (target, last) in targets.iter().zip(read) {
-            seen.insert(target.id.clone(), last);
+            last_seqs.insert(target.id.clone(), last);
         }
-        monoio::time::sleep(EVERY).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -89,12 +89,12 @@
     if pool.kind != PoolKind::Engine || pool.listed {
         return None;
     }
-    let here = |target: &&Target| target.data_centre == daemon.cfg.data_centre;
-    Some(pool.targets.iter().filter(here).cloned().collect())
+    let is_local = |target: &&Target| target.data_centre == daemon.cfg.data_centre;
+    Some(pool.targets.iter().filter(is_local).cloned().collect())
 }
 
 /// Reads one target; returns the last sequence number seen.
-async fn read_target(daemon: &Daemon, served: &Served, target: &Target, after: u64) -> u64 {
+async fn read_target(daemon: &Daemon, served: &ServedPool, target: &Target, after: u64) -> u64 {
     if let Some(load) = get::<Load>(daemon, target, "/load").await {
         let report = LoadReport {
             running: load.running,
@@ -105,7 +105,7 @@
             .load_report(&TargetLife::of(target), report);
     }
     let path = format!("/cache-events?after={after}");
-    let events = get::<Vec<Published>>(daemon, target, &path).await;
+    let events = get::<Vec<CacheEventEntry>>(daemon, target, &path).await;
     let mut last = after;
     for event in events.unwrap_or_default() {
         let kind = match event.kind {
--- a/crates/lilaccrankd/src/pools/rate_limits.rs
+++ b/crates/lilaccrankd/src/pools/rate_limits.rs
@@ -42,9 +42,9 @@
 
 fn shares(daemon: &Daemon, pool: &Pool, rates: &Rates) -> Shares {
     let cell = server::cell(daemon);
-    let sharers = cell.sharers(server::near_targets(daemon, pool).len());
+    let sharing_cells = cell.sharers(server::near_targets(daemon, pool).len());
     let shares = rates.iter().map(|(target, per_s)| {
-        let share = rate_limit::share(*per_s, *target, &sharers, cell.id());
+        let share = rate_limit::share(*per_s, *target, &sharing_cells, cell.id());
         (*target, share)
     });
     shares.collect()
--- a/crates/lilaccrankd/src/pools/server.rs
+++ b/crates/lilaccrankd/src/pools/server.rs
@@ -32,13 +32,13 @@
 /// Longest wait of a new dispatcher for the entries to tell what they have.
 const HANDOVER_GRACE: Duration = Duration::from_secs(1);
 /// Tries to deliver a verdict; an entry that missed them all asks again.
-const DELIVERIES: u32 = 3;
+const DELIVERY_ATTEMPTS: u32 = 3;
 /// Wait between two tries.
-const DELIVER_AGAIN: Duration = Duration::from_millis(100);
+const DELIVERY_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Silence of an engine with running requests that counts as a hang.
-const ENGINE_SILENCE: Duration = Duration::from_millis(500);
+const ENGINE_HANG_TIMEOUT: Duration = Duration::from_millis(500);
 /// A plain service may be silent as long as its requests may take.
-const SERVICE_SILENCE: Duration = Duration::from_secs(30);
+const SERVICE_HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The dispatchers that run here.
 #[derive(Default)]
@@ -47,24 +47,24 @@
     cell: RefCell<Rc<cells::Cell>>,
     entries: RefCell<Vec<Entry>>,
     rate_limits: RateLimits,
-    served: RefCell<IndexMap<PoolId, Rc<Served>>>,
+    served: RefCell<IndexMap<PoolId, Rc<ServedPool>>>,
 }
 
 /// One dispatcher in one life of this daemon.
-pub struct Served {
+pub struct ServedPool {
     /// The dispatcher.
     pub dispatcher: Dispatcher<MonoioClock>,
     me: MemberRef,
     pool: PoolId,
     retired: Cell<bool>,
-    retiring: Event,
+    retire_event: Event,
 }
 
-impl Served {
+impl ServedPool {
     /// Completes once another daemon or another life has the duty.
     pub async fn retired(&self) {
         while !self.retired.get() {
-            let listener = self.retiring.listen();
+            let listener = self.retire_event.listen();
             if !self.retired.get() {
                 listener.await;
             }
@@ -73,7 +73,7 @@
 
     fn retire(&self) {
         self.retired.set(true);
-        self.retiring.notify(usize::MAX);
+        self.retire_event.notify(usize::MAX);
     }
 }
 
@@ -86,18 +86,18 @@
             PoolReply::Declined
         };
     }
-    let Some(served) = served(daemon, &req.pool) else {
+    let Some(served) = served_pool(daemon, &req.pool) else {
         return PoolReply::Declined;
     };
     match req.message {
-        PoolMessage::Ask(ask) => decide_later(daemon, &served, ask),
+        PoolMessage::Ask(ask) => spawn_decide(daemon, &served, ask),
         PoolMessage::Cancel(cancel) => served.dispatcher.cancel(&cancel),
         PoolMessage::Report(report) => served.dispatcher.report(&report),
         PoolMessage::Resync(resync) => {
             let waiting = resync.waiting.clone();
             served.dispatcher.resync(resync);
             for ask in waiting {
-                decide_later(daemon, &served, ask);
+                spawn_decide(daemon, &served, ask);
             }
         }
         PoolMessage::Verdict { .. } => {}
@@ -109,11 +109,11 @@
     }
 }
 
-fn decide_later(daemon: &Rc<Daemon>, served: &Rc<Served>, ask: Ask) {
+fn spawn_decide(daemon: &Rc<Daemon>, served: &Rc<ServedPool>, ask: Ask) {
     monoio::spawn(decide(Rc::clone(daemon), Rc::clone(served), ask));
 }
 
-async fn decide(daemon: Rc<Daemon>, served: Rc<Served>, ask: Ask) {
+async fn decide(daemon: Rc<Daemon>, served: Rc<ServedPool>, ask: Ask) {
     let entry = ask.entry.clone();
     let verdict = {
         let deciding = served.dispatcher.ask(ask);
@@ -138,11 +138,11 @@
         };
         daemon.record(EventKind::Granted, subject);
     }
-    let used = deliver(&daemon, &served, &entry, &verdict).await;
+    let is_used = deliver(&daemon, &served, &entry, &verdict).await;
     let Verdict::Grant(grant) = verdict else {
         return;
     };
-    let kind = if used {
+    let kind = if is_used {
         ReportKind::Began
     } else {
         ReportKind::Ended {
@@ -159,11 +159,11 @@
     });
 }
 
-async fn deliver(daemon: &Rc<Daemon>, served: &Served, entry: &str, verdict: &Verdict) -> bool {
+async fn deliver(daemon: &Rc<Daemon>, served: &ServedPool, entry: &str, verdict: &Verdict) -> bool {
     if entry == daemon.cfg.vm {
         return client::on_verdict(daemon, &served.me, verdict.clone());
     }
-    for _ in 0..DELIVERIES {
+    for _ in 0..DELIVERY_ATTEMPTS {
         let req = PoolRequest {
             message: PoolMessage::Verdict {
                 from: served.me.clone(),
@@ -174,14 +174,14 @@
         match daemon.peers.call(&entry.to_owned(), req).await {
             Ok(PoolReply::Accepted { .. }) => return true,
             Ok(PoolReply::Declined) => return false,
-            Err(_) => monoio::time::sleep(DELIVER_AGAIN).await,
+            Err(_) => monoio::time::sleep(DELIVERY_RETRY_DELAY).await,
         }
     }
     false
 }
 
 /// The dispatcher of a pool if this daemon has the duty; made at the first message.
-fn served(daemon: &Rc<Daemon>, pool: &PoolId) -> Option<Rc<Served>> {
+fn served_pool(daemon: &Rc<Daemon>, pool: &PoolId) -> Option<Rc<ServedPool>> {
     if !daemon.duties.is_dispatcher(pool) {
         return None;
     }
@@ -193,7 +193,7 @@
             if let Some(stale) = stale {
                 stale.retire();
             }
-            let served = begin(daemon, pool, me)?;
+            let served = start_dispatcher(daemon, pool, me)?;
             let mut all = daemon.pool_server.served.borrow_mut();
             all.insert(pool.clone(), Rc::clone(&served));
             Some(served)
@@ -201,12 +201,12 @@
     }
 }
 
-fn begin(daemon: &Rc<Daemon>, pool: &PoolId, me: MemberRef) -> Option<Rc<Served>> {
+fn start_dispatcher(daemon: &Rc<Daemon>, pool: &PoolId, me: MemberRef) -> Option<Rc<ServedPool>> {
     let in_force = daemon.in_force().ok()?;
     let configured = in_force.document.pool(pool)?;
     let min_hang_timeout = match configured.kind {
-        PoolKind::Engine => ENGINE_SILENCE,
-        PoolKind::Service => SERVICE_SILENCE,
+        PoolKind::Engine => ENGINE_HANG_TIMEOUT,
+        PoolKind::Service => SERVICE_HANG_TIMEOUT,
     };
     let dispatcher = Dispatcher::new(
         MonoioClock,
@@ -224,12 +224,12 @@
     if !daemon.duties.is_dispatch_local() {
         dispatcher.begin_handover(live_entries(daemon), HANDOVER_GRACE);
     }
-    let served = Rc::new(Served {
+    let served = Rc::new(ServedPool {
         dispatcher,
         me,
         pool: pool.clone(),
         retired: Cell::new(false),
-        retiring: Event::new(),
+        retire_event: Event::new(),
     });
     daemon.record(
         EventKind::TakenOver,
@@ -273,35 +273,37 @@
 pub fn members_changed(daemon: &Rc<Daemon>) {
     let me = daemon.duties.me();
     let server = &daemon.pool_server;
-    divide(daemon);
+    update_cell(daemon);
     server.served.borrow_mut().retain(|pool, served| {
-        let kept = served.me == me && daemon.duties.is_dispatcher(pool);
-        if !kept {
+        let is_kept = served.me == me && daemon.duties.is_dispatcher(pool);
+        if !is_kept {
             served.retire();
         }
-        kept
+        is_kept
     });
     let entries = live_entries(daemon);
-    let before = server.entries.replace(entries.clone());
-    for gone in before.iter().filter(|entry| !entries.contains(entry)) {
+    let previous = server.entries.replace(entries.clone());
+    for departed in previous.iter().filter(|entry| !entries.contains(entry)) {
         for served in server.served.borrow().values() {
-            served.dispatcher.forget_entry(&gone.vm, gone.incarnation);
+            served
+                .dispatcher
+                .forget_entry(&departed.vm, departed.incarnation);
         }
     }
 }
 
 /// Finds this daemon's cell among the present members. If that is another one than before, the
 /// dispatchers here get other targets.
-fn divide(daemon: &Rc<Daemon>) {
+fn update_cell(daemon: &Rc<Daemon>) {
     if !daemon.duties.is_dispatch_local() {
         return;
     }
     let live = daemon.membership.live();
     let members: IndexSet<VmId> = live.members.iter().map(|m| m.vm.clone()).collect();
     let cell = Rc::new(cells::Cell::new(&members, &daemon.cfg.vm));
-    let before = daemon.pool_server.cell.replace(Rc::clone(&cell));
+    let previous = daemon.pool_server.cell.replace(Rc::clone(&cell));
     daemon.quotas.set_cell(&cell, &members);
-    if before != cell {
+    if previous != cell {
         log::info!(mates = cell.mates().len(), members = members.len(); "cell of this daemon");
         configuration_changed(daemon);
     }
@@ -365,8 +367,8 @@
 }
 
 /// Takes in what another daemon has on the targets of a pool.
-pub fn take_digest(daemon: &Rc<Daemon>, pool: &PoolId, from: &VmId, digest: Digest) {
-    if let Some(served) = served(daemon, pool) {
+pub fn apply_digest(daemon: &Rc<Daemon>, pool: &PoolId, from: &VmId, digest: Digest) {
+    if let Some(served) = served_pool(daemon, pool) {
         served.dispatcher.apply_digest(from, digest);
     }
 }
--- a/crates/lilaccrankd/src/ports.rs
+++ b/crates/lilaccrankd/src/ports.rs
@@ -10,7 +10,7 @@
 use crate::configuration::source::Source;
 use crate::objects::{Objects, OwnObjects};
 use crate::settings::{self, Settings};
-use crate::targets::own_protocol::OwnTargets;
+use crate::targets::native_protocol::NativeTargetProtocol;
 use crate::targets::protocol::TargetProtocol;
 
 /// The adapters of one daemon.
@@ -39,7 +39,7 @@
             settings: Settings::read,
             settings_file: None,
             source: Rc::new(OwnSource),
-            targets: Rc::new(OwnTargets),
+            targets: Rc::new(NativeTargetProtocol),
         }
     }
 }
--- a/crates/lilaccrankd/src/request/lifecycle.rs
+++ b/crates/lilaccrankd/src/request/lifecycle.rs
@@ -16,7 +16,7 @@
 use crate::callers::caller_request::{CallerRequest, Operation};
 use crate::callers::refusal::{Refusal, Result};
 use crate::daemon::Daemon;
-use crate::pools::client::{self, Held};
+use crate::pools::client::{self, HeldGrant};
 use crate::request::answer_buffer::{AnswerBuffer, End};
 use crate::request::interruption;
 use crate::request::key_state::KeyState;
@@ -24,7 +24,7 @@
 use crate::request::send::SendError;
 use crate::request::send_history::{PriorSends, SendHistory};
 use crate::request::spill;
-use crate::targets::forward::Passed;
+use crate::targets::forward::Delivered;
 
 /// Longest time for which the end of a request waits until its key is settled.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(200);
@@ -274,7 +274,7 @@
         daemon: &Rc<Daemon>,
         buffer: &AnswerBuffer,
         history: &SendHistory,
-    ) -> Result<Held> {
+    ) -> Result<HeldGrant> {
         self.check_quarantine(daemon)?;
         daemon.record(
             EventKind::Asked,
@@ -307,7 +307,7 @@
     }
 
     /// Describes the part of an interrupted answer that the caller has; `None` if it has no tokens.
-    fn partial_answer(&self, daemon: &Daemon, delivered: &Passed) -> Option<PartialAnswer> {
+    fn partial_answer(&self, daemon: &Daemon, delivered: &Delivered) -> Option<PartialAnswer> {
         let tokens_in_event = daemon.tokens_in_event(&self.route.pool);
         let tokens = delivered.events.saturating_mul(tokens_in_event);
         (tokens > 0).then_some(PartialAnswer {
--- a/crates/lilaccrankd/src/request/migration.rs
+++ b/crates/lilaccrankd/src/request/migration.rs
@@ -9,7 +9,7 @@
 use lilaccrank::dispatch::message::{Ask, PartialAnswer};
 use lilaccrank::stream_progress;
 
-use crate::pools::client::{self, Held};
+use crate::pools::client::{self, HeldGrant};
 use crate::request::lifecycle::{self, RoutedRequest};
 use crate::request::send::SendObserver;
 use crate::request::send_history::PriorSends;
@@ -28,7 +28,7 @@
         observer: &SendObserver<'_>,
         resumable: bool,
         prior: &PriorSends,
-    ) -> Held {
+    ) -> HeldGrant {
         if !resumable {
             return future::pending().await;
         }
@@ -82,7 +82,7 @@
         }
     }
 
-    fn log_migration(&self, observer: &SendObserver<'_>, grant: &Held, remaining: Duration) {
+    fn log_migration(&self, observer: &SendObserver<'_>, grant: &HeldGrant, remaining: Duration) {
         log::info!(
             from = observer.grant.target.id,
             left_ms = lifecycle::log_ms(self.time_left()),
--- a/crates/lilaccrankd/src/request/quarantine.rs
+++ b/crates/lilaccrankd/src/request/quarantine.rs
@@ -7,7 +7,7 @@
 use crate::callers::refusal::{Refusal, Result};
 use crate::daemon::Daemon;
 use crate::request::lifecycle::RoutedRequest;
-use crate::targets::forward::Passed;
+use crate::targets::forward::Delivered;
 
 impl RoutedRequest {
     /// Digest of the content of the request, computed on first use.
@@ -24,7 +24,10 @@
     ///
     /// [`ErrorKind::Quarantined`] if too many targets crashed while they ran the same content.
     pub fn check_quarantine(&self, daemon: &Daemon) -> Result<()> {
-        let Some(remaining) = daemon.advisories.quarantine(|| self.content_digest()) else {
+        let Some(remaining) = daemon
+            .advisories
+            .quarantine_remaining(|| self.content_digest())
+        else {
             return Ok(());
         };
         let content_digest = self.content_digest();
@@ -37,15 +40,17 @@
         let exchange = &daemon.load_exchange;
         daemon
             .advisories
-            .crashed(self.content_digest(), target, exchange);
+            .record_crash(self.content_digest(), target, exchange);
     }
 
     /// Records that a target completed the request.
-    pub fn record_completion(&self, daemon: &Daemon, delivered: &Passed) {
+    pub fn record_completion(&self, daemon: &Daemon, delivered: &Delivered) {
         // An answer that is delimited by its connection also ends this way if the target crashes.
         if !delivered.ended_with_connection {
             let exchange = &daemon.load_exchange;
-            daemon.advisories.completed(self.content_digest(), exchange);
+            daemon
+                .advisories
+                .record_completion(self.content_digest(), exchange);
         }
     }
 }
--- a/crates/lilaccrankd/src/request/send.rs
+++ b/crates/lilaccrankd/src/request/send.rs
@@ -19,15 +19,15 @@
 use crate::callers::caller_request::Operation;
 use crate::callers::refusal::Refusal;
 use crate::daemon::Daemon;
-use crate::pools::client::Held;
+use crate::pools::client::HeldGrant;
 use crate::request::answer_buffer::AnswerBuffer;
 use crate::request::lifecycle::RoutedRequest;
 use crate::request::send_history::SendHistory;
-use crate::targets::engine_run::{self, Ended, EngineRequest, Observer};
+use crate::targets::engine_run::{self, EngineRequest, Observer, RunOutcome};
 use crate::targets::engine_stream::EngineStream;
-use crate::targets::forward::{self, Failed, Forwarding, Passed};
-use crate::targets::protocol::{RateLimit, Sending};
-use crate::targets::proxied::Proxied;
+use crate::targets::forward::{self, Delivered, Forwarder, SendFailure};
+use crate::targets::protocol::{OutgoingRequest, RateLimit};
+use crate::targets::proxied_request::ProxiedRequest;
 
 /// Result of one send.
 pub type Result<T, E = SendError> = std::result::Result<T, E>;
@@ -36,9 +36,9 @@
 #[derive(From)]
 pub enum SendError {
     /// The send failed or was stopped.
-    Failed(Failed),
+    Failed(SendFailure),
     /// Another target resumes the answer under this grant.
-    Migrated(Held),
+    Migrated(HeldGrant),
 }
 
 /// Least time between two progress reports to the dispatcher.
@@ -54,7 +54,7 @@
         &self,
         daemon: &Rc<Daemon>,
         buffer: &AnswerBuffer,
-        grant: Held,
+        grant: HeldGrant,
         history: &mut SendHistory,
     ) -> Result<()> {
         daemon.record(
@@ -78,7 +78,7 @@
                 }
             },
         };
-        grant.ended(outcome(&sent), decoded, prefill);
+        grant.finish(outcome(&sent), decoded, prefill);
         sent
     }
 
@@ -86,9 +86,9 @@
         &self,
         daemon: &Rc<Daemon>,
         buffer: &AnswerBuffer,
-        grant: &Held,
+        grant: &HeldGrant,
         target: &Target,
-    ) -> Ended {
+    ) -> RunOutcome {
         let Operation::Generate {
             body,
             answer_format,
@@ -102,13 +102,13 @@
             answer_limit: daemon.cfg.answer_limit,
             body: body.clone(),
             key: self.caller.facts.key.as_deref(),
-            shape: *answer_format,
+            format: *answer_format,
             stream: *stream,
         };
         let address = target.address.clone();
         let client = daemon.client.clone();
         let engine = EngineStream::new(client, address, self.id.clone(), daemon.patience());
-        let send_observer = SendObserver::new(self, daemon, grant, &Passed::default());
+        let send_observer = SendObserver::new(self, daemon, grant, &Delivered::default());
         let interrupted = self.interrupted(daemon, buffer);
         engine_run::run(engine, req, buffer, &send_observer, interrupted).await
     }
@@ -131,26 +131,26 @@
         send_observer: &SendObserver<'_>,
         buffer: &AnswerBuffer,
         target: &Target,
-        proxied: &Proxied,
+        proxied: &ProxiedRequest,
         history: &mut SendHistory,
     ) -> Result<()> {
         let daemon = send_observer.daemon;
         let after = history.delivered.last_event.clone();
-        let sending = Sending {
+        let sending = OutgoingRequest {
             after: after.as_deref(),
             caller: &self.caller,
             id: &self.id,
-            left: self.time_left(),
+            remaining: self.time_left(),
             proxied,
             target,
         };
-        let forwarding = Forwarding {
+        let forwarding = Forwarder {
             bounds: daemon.bounds(),
             client: &daemon.client,
             observer: send_observer,
             protocol: &*daemon.ports.targets,
             rest: self.max_idle(daemon),
-            run: buffer,
+            buffer,
             stream: self.route.terms.stream,
         };
         let interrupted = async {
@@ -158,7 +158,10 @@
             SendError::from(failed(refusal.ran(Ran::Maybe)))
         };
         let restarted = async {
-            daemon.live_list.is_over(&send_observer.grant.target).await;
+            daemon
+                .live_list
+                .superseded(&send_observer.grant.target)
+                .await;
             SendError::from(target_restarted(buffer))
         };
         let resumable = history.can_resume();
@@ -187,7 +190,7 @@
     /// The daemon that sends.
     pub daemon: &'a Rc<Daemon>,
     /// Grant of the target.
-    pub grant: &'a Held,
+    pub grant: &'a HeldGrant,
     reported_tokens: Cell<u32>,
     last_report_at: Cell<Instant>,
     stream_progress: Cell<StreamProgress>,
@@ -200,8 +203,8 @@
     fn new(
         routed: &RoutedRequest,
         daemon: &'a Rc<Daemon>,
-        grant: &'a Held,
-        delivered: &Passed,
+        grant: &'a HeldGrant,
+        delivered: &Delivered,
     ) -> Self {
         let tokens_in_event = daemon.tokens_in_event(&routed.route.pool);
         let earlier_tokens = delivered.events.saturating_mul(tokens_in_event);
@@ -243,7 +246,7 @@
         let exchange = &self.daemon.load_exchange;
         self.daemon
             .advisories
-            .rate_limited(&self.grant.target, limit, exchange);
+            .record_rate_limit(&self.grant.target, limit, exchange);
     }
 
     fn event(&self, first: bool, since_sent: Duration) {
@@ -276,21 +279,21 @@
             failed if failed.refusal.kind.is_from_outside() => Outcome::Cancelled,
             failed if failed.refusal.kind == ErrorKind::NoTarget => Outcome::Unused,
             failed if failed.answer.is_some() => Outcome::Erred,
-            failed if failed.how == Failure::NotRun => Outcome::Erred,
+            failed if failed.failure == Failure::NotRun => Outcome::Erred,
             _ => Outcome::Failed,
         },
     }
 }
 
 /// Failure of a send with this refusal. If the refusal says "not run", nothing reached the target.
-fn failed(refusal: Refusal) -> Failed {
-    let how = match refusal.ran {
+fn failed(refusal: Refusal) -> SendFailure {
+    let failure = match refusal.ran {
         Ran::No => Failure::Unsent,
         Ran::Maybe => Failure::Failed,
     };
-    Failed {
+    SendFailure {
         answer: None,
-        how,
+        failure,
         refusal,
     }
 }
@@ -299,15 +302,15 @@
 ///
 /// The connection may stay open without notice. The request would then hang until its deadline and
 /// hold a slot that no longer exists.
-fn target_restarted(buffer: &AnswerBuffer) -> Failed {
+fn target_restarted(buffer: &AnswerBuffer) -> SendFailure {
     let refusal = Refusal::new(ErrorKind::TargetFailed, "the target has started again");
     let mut lost = failed(refusal.ran(Ran::Maybe).connection_lost());
     if buffer.has_head() {
-        lost.how = Failure::BrokenOff;
+        lost.failure = Failure::BrokenOff;
     }
     lost
 }
 
-fn target_removed() -> Failed {
+fn target_removed() -> SendFailure {
     failed(Refusal::new(ErrorKind::NoTarget, "the target was removed"))
 }
--- a/crates/lilaccrankd/src/request/send_history.rs
+++ b/crates/lilaccrankd/src/request/send_history.rs
@@ -11,7 +11,7 @@
 use crate::daemon::Daemon;
 use crate::request::answer_buffer::{AnswerBuffer, Head};
 use crate::request::lifecycle::RoutedRequest;
-use crate::targets::forward::{Failed, Passed};
+use crate::targets::forward::{Delivered, SendFailure};
 
 /// Earlier sends, as far as they matter for the next ask for a target.
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
     /// Earlier sends, for the next ask.
     pub prior: PriorSends,
     /// The part of the answer that the caller has received.
-    pub delivered: Passed,
+    pub delivered: Delivered,
     /// Refusal of the last failed send.
     refusal: Option<Refusal>,
 }
@@ -52,7 +52,7 @@
                 exclusions: Vec::new(),
                 waiting_since: routed.arrived,
             },
-            delivered: Passed::default(),
+            delivered: Delivered::default(),
             refusal: None,
         }
     }
@@ -84,14 +84,14 @@
         daemon: &Daemon,
         routed: &RoutedRequest,
         target: TargetLife,
-        failed: Failed,
+        failed: SendFailure,
         buffer: &AnswerBuffer,
     ) -> Option<Result<()>> {
         self.prior.exclusions.push(target.clone());
         if failed.refusal.connection_lost {
             routed.record_crash(daemon, &target);
         }
-        if failed.how == Failure::BrokenOff {
+        if failed.failure == Failure::BrokenOff {
             // If the objective still counted from the arrival of the request, it would be over by
             // now. A stream that finds all targets full would then be refused, and what its caller
             // has read would be lost.
@@ -100,15 +100,15 @@
         if failed.answer.is_some() {
             self.answer = failed.answer;
         }
-        let will_retry = self.attempts.failed(failed.how)
+        let will_retry = self.attempts.failed(failed.failure)
             && !failed.refusal.kind.is_from_outside()
-            && (failed.how == Failure::Unsent
+            && (failed.failure == Failure::Unsent
                 || daemon.second_sends.try_take(daemon, &routed.route.pool));
         log::info!(
             again = will_retry,
             connection_lost = failed.refusal.connection_lost,
             content:% = format_args!("{:016x}", routed.content_digest()),
-            how:? = failed.how,
+            how:? = failed.failure,
             kind:% = failed.refusal.kind,
             request = routed.log_id(),
             since_arrival_ms = routed.elapsed_ms(),
--- a/crates/lilaccrankd/src/serve.rs
+++ b/crates/lilaccrankd/src/serve.rs
@@ -22,9 +22,11 @@
 use crate::configuration::feed;
 use crate::daemon::Daemon;
 use crate::orders::jobs;
-use crate::orders::keeper;
+use crate::orders::manager;
 use crate::peers::load_exchange;
-use crate::peers::message::{Held, HeldAsk, PeerReply, PeerRequest, Stamped};
+use crate::peers::message::{
+    HeldConfiguration, HeldConfigurationRequest, PeerReply, PeerRequest, Stamped,
+};
 use crate::peers::quarantine_record;
 use crate::peers::traffic::Traffic;
 use crate::peers::udp_gossip::UdpGossip;
@@ -168,8 +170,8 @@
             .second_sends
             .set_member_count(daemon.membership.live().members.len());
         pools::server::members_changed(&daemon);
-        pools::client::rebalance(&daemon);
-        keeper::reconcile(&daemon);
+        pools::client::resync_dispatchers(&daemon);
+        manager::reconcile(&daemon);
         daemon.peers.prune();
     }
 }
@@ -188,13 +190,13 @@
             configuration::announced(&daemon, announcement).into()
         }
         PeerRequest::Configuration(ask) => exchange::answer(&daemon.adoption, &ask).into(),
-        PeerRequest::Held(HeldAsk) => Held {
+        PeerRequest::Held(HeldConfigurationRequest) => HeldConfiguration {
             identity: daemon.adoption.identity(),
         }
         .into(),
         PeerRequest::Key(req) => daemon.keeper.handle(req).await.into(),
         PeerRequest::Feed(asked) => feed::answer(&daemon, &asked).into(),
-        PeerRequest::Order(req) => jobs::answer(&daemon, req).into(),
+        PeerRequest::Order(req) => jobs::handle(&daemon, req).into(),
         PeerRequest::Pool(req) => pools::server::handle(&daemon, req).into(),
     };
     Stamped {
--- a/crates/lilaccrankd/src/targets/engine_run.rs
+++ b/crates/lilaccrankd/src/targets/engine_run.rs
@@ -19,9 +19,9 @@
 /// An engine that answers does so in milliseconds, and its slot is free then. One that can't be
 /// reached would hold up a refusal for as long as connecting and answering may take; the cancel
 /// goes on without the caller.
-const CANCEL_WAIT: Duration = Duration::from_millis(100);
+const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
 /// How often progress is reported while tokens come.
-const PROGRESS_EVERY: Duration = Duration::from_millis(250);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What the engine was seen to do, for the dispatcher's estimate of it.
 pub trait Observer {
@@ -32,7 +32,7 @@
 }
 
 /// What came of a request at its target.
-pub struct Ended {
+pub struct RunOutcome {
     /// Tokens generated.
     pub decoded: u32,
     /// Tokens of prefill that the engine computed, if it said so.
@@ -41,7 +41,7 @@
     pub result: Result<()>,
 }
 
-impl Ended {
+impl RunOutcome {
     /// An end of which nothing else is known.
     #[must_use]
     pub fn new(result: Result<()>) -> Self {
@@ -62,7 +62,7 @@
     /// The caller's key.
     pub key: Option<&'a str>,
     /// Form of the answer.
-    pub shape: AnswerFormat,
+    pub format: AnswerFormat,
     /// Whether the caller reads events.
     pub stream: bool,
 }
@@ -71,14 +71,21 @@
 pub async fn run(
     mut engine: EngineStream,
     req: EngineRequest<'_>,
-    run: &AnswerBuffer,
+    buffer: &AnswerBuffer,
     observer: &impl Observer,
     interrupted: impl Future<Output = Refusal>,
-) -> Ended {
+) -> RunOutcome {
     let mut progress = Progress::new();
-    let mut shape = AnswerBuilder::new(req.shape, req.stream, req.answer_limit);
+    let mut builder = AnswerBuilder::new(req.format, req.stream, req.answer_limit);
     let outcome = {
-        let reading = read(&mut engine, req, &mut shape, run, observer, &mut progress);
+        let reading = read(
+            &mut engine,
+            req,
+            &mut builder,
+            buffer,
+            observer,
+            &mut progress,
+        );
         pin_mut!(reading, interrupted);
         match future::select(reading, interrupted).await {
             Either::Left((result, _)) => result,
@@ -90,13 +97,13 @@
         // Whatever went wrong, the engine may still be computing for nobody.
         Err(refusal) if refusal.ran == Ran::Maybe => {
             let cancelling = monoio::spawn(engine.cancel());
-            let _ = monoio::time::timeout(CANCEL_WAIT, cancelling).await;
+            let _ = monoio::time::timeout(CANCEL_TIMEOUT, cancelling).await;
         }
         Err(_) => {}
     }
-    Ended {
+    RunOutcome {
         decoded: progress.decoded,
-        prefill: shape.prefill_tokens(),
+        prefill: builder.prefill_tokens(),
         result: outcome,
     }
 }
@@ -104,18 +111,18 @@
 async fn read(
     engine: &mut EngineStream,
     req: EngineRequest<'_>,
-    shape: &mut AnswerBuilder,
-    run: &AnswerBuffer,
+    builder: &mut AnswerBuilder,
+    buffer: &AnswerBuffer,
     observer: &impl Observer,
     progress: &mut Progress,
 ) -> Result<()> {
-    let path = match req.shape {
+    let path = match req.format {
         AnswerFormat::Chat => "/v1/chat/completions",
         AnswerFormat::Completion => "/v1/completions",
     };
     engine.send(path, req.key, req.body).await?;
     while let Some(data) = engine.next().await? {
-        match shape.push_event(&data, run)? {
+        match builder.push_event(&data, buffer)? {
             EngineEvent::Done => return Ok(()),
             EngineEvent::Other => {}
             EngineEvent::Token => progress.token(observer),
@@ -153,7 +160,7 @@
             return;
         }
         let since = now - self.reported_at;
-        if since >= PROGRESS_EVERY {
+        if since >= PROGRESS_INTERVAL {
             let tokens = self.decoded - self.reported;
             observer.progress(tokens, since / tokens);
             self.reported = self.decoded;
--- a/crates/lilaccrankd/src/targets/engine_stream.rs
+++ b/crates/lilaccrankd/src/targets/engine_stream.rs
@@ -25,7 +25,7 @@
 /// Time for an engine to answer a resume or a cancel.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(1);
 /// Tries to take up a stream again; more would keep a caller waiting on a dead engine.
-const RESUMES: u32 = 2;
+const MAX_RESUMES: u32 = 2;
 
 type Events = Pin<Box<dyn Stream<Item = std::result::Result<Event, String>>>>;
 
@@ -40,7 +40,7 @@
 
 /// How long an engine may be silent.
 #[derive(Clone, Copy, Debug)]
-pub struct Patience {
+pub struct SilenceTimeouts {
     /// Until the first event.
     pub first: Duration,
     /// Between events.
@@ -54,7 +54,7 @@
     connection: Option<Connection>,
     events: Option<Events>,
     id: RequestId,
-    patience: Patience,
+    timeouts: SilenceTimeouts,
     received: u64,
     resumes: u32,
 }
@@ -62,14 +62,14 @@
 impl EngineStream {
     /// A stream that has sent nothing yet.
     #[must_use]
-    pub fn new(client: Client, address: String, id: RequestId, patience: Patience) -> Self {
+    pub fn new(client: Client, address: String, id: RequestId, timeouts: SilenceTimeouts) -> Self {
         Self {
             address,
             client,
             connection: None,
             events: None,
             id,
-            patience,
+            timeouts,
             received: 0,
             resumes: 0,
         }
@@ -87,7 +87,7 @@
         if let Some(key) = key.and_then(|key| HeaderValue::from_str(key).ok()) {
             headers.insert(REQUEST_KEY, key);
         }
-        match self.open(req, self.patience.first).await {
+        match self.open(req, self.timeouts.first).await {
             Err(refusal) if refusal.kind == ErrorKind::TargetSilent => {
                 self.resume(Cause::Silent).await
             }
@@ -102,15 +102,15 @@
     /// If the engine stays silent or the stream breaks and can't be taken up again.
     pub async fn next(&mut self) -> Result<Option<String>> {
         loop {
-            let patience = if self.received == 0 {
-                self.patience.first
+            let timeout = if self.received == 0 {
+                self.timeouts.first
             } else {
-                self.patience.next
+                self.timeouts.next
             };
             let Some(events) = self.events.as_mut() else {
                 return Ok(None);
             };
-            match monoio::time::timeout(patience, events.next()).await {
+            match monoio::time::timeout(timeout, events.next()).await {
                 Ok(Some(Ok(event))) => {
                     self.received += 1;
                     return Ok(Some(event.data));
@@ -184,7 +184,7 @@
     async fn resume(&mut self, cause: Cause) -> Result<()> {
         self.events = None;
         self.connection = None;
-        while self.resumes < RESUMES {
+        while self.resumes < MAX_RESUMES {
             self.resumes += 1;
             let path = format!("{}?from={}", self.stream_path(), self.received);
             let req = self.request(Method::GET, &path, body::empty());
--- a/crates/lilaccrankd/src/targets/forward.rs
+++ b/crates/lilaccrankd/src/targets/forward.rs
@@ -21,17 +21,17 @@
 use crate::callers::end_to_end;
 use crate::callers::refusal::{REFUSAL, Refusal};
 use crate::request::answer_buffer::{AnswerBuffer, Head};
-use crate::targets::protocol::{RateLimit, Said, Sending, TargetProtocol};
+use crate::targets::protocol::{AnswerKind, OutgoingRequest, RateLimit, TargetProtocol};
 
 /// Result of one send.
-pub type Result<T, E = Failed> = std::result::Result<T, E>;
+pub type Result<T, E = SendFailure> = std::result::Result<T, E>;
 
 /// Largest answer that is held until it is whole. Answers of plain services have a few kilobytes;
 /// what is longer passes on piece by piece.
-const HELD_LIMIT: usize = 256 << 10;
+const HOLD_BACK_LIMIT: usize = 256 << 10;
 /// Largest answer of a target that did not run the request, which is read so that its connection
 /// can serve another one.
-const NOT_RUN_LIMIT: usize = 64 << 10;
+const NOT_RUN_BODY_LIMIT: usize = 64 << 10;
 
 /// Bounds of one send.
 #[derive(Clone, Copy, Debug)]
@@ -57,18 +57,18 @@
 
 /// One send that gave no whole answer.
 #[derive(Debug)]
-pub struct Failed {
+pub struct SendFailure {
     /// The target's own answer, for the caller if no other target gives a better one.
     pub answer: Option<(Head, Bytes)>,
     /// What it says of the request.
-    pub how: Failure,
+    pub failure: Failure,
     /// What the caller is told.
     pub refusal: Refusal,
 }
 
 /// The answer as far as it has reached the caller.
 #[derive(Debug, Default)]
-pub struct Passed {
+pub struct Delivered {
     /// Whether the last answer was delimited by its connection, which a crash ends as well.
     pub ended_with_connection: bool,
     /// Events passed on.
@@ -78,7 +78,7 @@
 }
 
 /// Sends requests to targets.
-pub struct Forwarding<'a, O> {
+pub struct Forwarder<'a, O> {
     /// Bounds of the send.
     pub bounds: Bounds,
     /// Connections.
@@ -90,43 +90,47 @@
     /// Longest rest of an idle connection that is used again.
     pub rest: Duration,
     /// Where the answer goes.
-    pub run: &'a AnswerBuffer,
+    pub buffer: &'a AnswerBuffer,
     /// Whether the answer is a stream of events.
     pub stream: bool,
 }
 
-impl<O: Observer> Forwarding<'_, O> {
+impl<O: Observer> Forwarder<'_, O> {
     /// Sends a request once and passes its answer on.
     ///
     /// # Errors
     ///
-    /// There is no whole answer; what came of it stands in `passed` and in the error.
-    pub async fn send(&self, sending: &Sending<'_>, passed: &mut Passed) -> Result<()> {
-        let req = self.protocol.request(sending);
+    /// There is no whole answer; what came of it stands in `delivered` and in the error.
+    pub async fn send(
+        &self,
+        outgoing: &OutgoingRequest<'_>,
+        delivered: &mut Delivered,
+    ) -> Result<()> {
+        let req = self.protocol.request(outgoing);
         let sent_at = Instant::now();
-        let (head, body, connection) = self.exchange(&sending.target.address, req).await?;
+        let (head, body, connection) = self.exchange(&outgoing.target.address, req).await?;
         if head.headers.contains_key(CONTENT_ENCODING) {
             // Callers ask for plain bodies; what is coded was made by something in between.
             return Err(failed(ErrorKind::BrokenAnswer, "the answer is coded"));
         }
-        passed.ended_with_connection = ends_with_connection(&head);
-        let said = self.protocol.read(&head, sending);
-        if said != Said::Stray {
+        delivered.ended_with_connection = ends_with_connection(&head);
+        let kind = self.protocol.classify(&head, outgoing);
+        if kind != AnswerKind::Mismatched {
             self.observer.rate_limit(self.protocol.rate_limit(&head));
         }
-        match said {
-            Said::Stray => {
+        match kind {
+            AnswerKind::Mismatched => {
                 let message = "the target sent the answer to another request";
                 Err(failed(ErrorKind::BrokenAnswer, message))
             }
-            Said::NotRun => Err(self.not_run(&head, body, connection).await),
-            Said::Failed => Err(self.target_failed(head, body, connection).await),
-            Said::Answer if self.stream && head.status.is_success() => {
-                self.pass_events(head, body, passed, sent_at).await?;
+            AnswerKind::NotRun => Err(self.not_run(&head, body, connection).await),
+            AnswerKind::Failed => Err(self.target_failed(head, body, connection).await),
+            AnswerKind::Answer if self.stream && head.status.is_success() => {
+                self.forward_events(head, body, delivered, sent_at).await?;
                 self.client.release(connection);
                 Ok(())
             }
-            Said::Answer => self.pass_whole(head, body, connection).await,
+            AnswerKind::Answer => self.forward_whole(head, body, connection).await,
         }
     }
 
@@ -147,62 +151,72 @@
         Ok((head, body, connection))
     }
 
-    async fn not_run(&self, head: &Parts, body: Incoming, connection: Connection) -> Failed {
-        let reading = body::read(body, NOT_RUN_LIMIT);
+    async fn not_run(&self, head: &Parts, body: Incoming, connection: Connection) -> SendFailure {
+        let reading = body::read(body, NOT_RUN_BODY_LIMIT);
         if let Ok(Ok(_)) = monoio::time::timeout(self.bounds.next, reading).await {
             self.client.release(connection);
         }
         let message = format!("the target did not run it, status {}", head.status);
-        Failed {
+        SendFailure {
             answer: None,
-            how: Failure::NotRun,
+            failure: Failure::NotRun,
             refusal: Refusal::new(ErrorKind::TargetRefused, message).ran(Ran::No),
         }
     }
 
-    async fn target_failed(&self, head: Parts, body: Incoming, connection: Connection) -> Failed {
+    async fn target_failed(
+        &self,
+        head: Parts,
+        body: Incoming,
+        connection: Connection,
+    ) -> SendFailure {
         let message = format!("the target failed with status {}", head.status);
         let mut failed = failed(ErrorKind::TargetFailed, message);
-        let reading = body::read(body, HELD_LIMIT);
+        let reading = body::read(body, HOLD_BACK_LIMIT);
         if let Ok(Ok(bytes)) = monoio::time::timeout(self.bounds.next, reading).await {
             self.client.release(connection);
-            failed.answer = Some((passed_on(&head), bytes));
+            failed.answer = Some((forwarded_head(&head), bytes));
         }
         failed
     }
 
     /// Passes on an answer that is no stream of events.
-    async fn pass_whole(&self, head: Parts, body: Incoming, connection: Connection) -> Result<()> {
+    async fn forward_whole(
+        &self,
+        head: Parts,
+        body: Incoming,
+        connection: Connection,
+    ) -> Result<()> {
         let mut body = body;
-        let mut held = BytesMut::new();
-        let mut begun = false;
+        let mut held_back = BytesMut::new();
+        let mut has_begun = false;
         loop {
             let frame = monoio::time::timeout(self.bounds.next, body.frame()).await;
-            let frame = frame.map_err(|_| broken("the target stopped in its answer", begun))?;
+            let frame = frame.map_err(|_| broken("the target stopped in its answer", has_begun))?;
             let Some(frame) = frame else {
                 break;
             };
-            let frame = frame.map_err(|_| lost("the target broke off its answer", begun))?;
+            let frame = frame.map_err(|_| lost("the target broke off its answer", has_begun))?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            if begun {
-                self.run.push(data);
+            if has_begun {
+                self.buffer.push(data);
             } else {
-                held.extend_from_slice(&data);
+                held_back.extend_from_slice(&data);
             }
-            if !begun && held.len() > HELD_LIMIT {
-                begun = true;
-                self.run.set_head(passed_on(&head));
-                self.run.push(held.split().freeze());
+            if !has_begun && held_back.len() > HOLD_BACK_LIMIT {
+                has_begun = true;
+                self.buffer.set_head(forwarded_head(&head));
+                self.buffer.push(held_back.split().freeze());
             }
-            if self.run.size() > self.bounds.answer_limit {
-                return Err(broken("the answer is over the limit", begun));
+            if self.buffer.size() > self.bounds.answer_limit {
+                return Err(broken("the answer is over the limit", has_begun));
             }
         }
-        if !begun {
-            self.run.set_head(passed_on(&head));
-            self.run.push(held.freeze());
+        if !has_begun {
+            self.buffer.set_head(forwarded_head(&head));
+            self.buffer.push(held_back.freeze());
         }
         self.client.release(connection);
         Ok(())
@@ -210,59 +224,59 @@
 
     /// Passes on whole events only: what is left of one that broke off could not be told from
     /// its beginning by a caller that reads on at another target.
-    async fn pass_events(
+    async fn forward_events(
         &self,
         head: Parts,
         mut body: Incoming,
-        passed: &mut Passed,
+        delivered: &mut Delivered,
         sent_at: Instant,
     ) -> Result<()> {
         let mut cutter = Cutter::default();
-        let mut came = 0;
+        let mut event_count = 0;
         loop {
-            let patience = if came == 0 {
+            let timeout = if event_count == 0 {
                 self.bounds.first.saturating_sub(sent_at.elapsed())
             } else {
                 self.bounds.next
             };
-            let frame = monoio::time::timeout(patience, body.frame()).await;
-            let frame = frame.map_err(|_| passed.silent())?;
+            let frame = monoio::time::timeout(timeout, body.frame()).await;
+            let frame = frame.map_err(|_| delivered.silent())?;
             let Some(frame) = frame else {
                 break;
             };
-            let frame = frame.map_err(|_| passed.lost("the target broke off its stream"))?;
+            let frame = frame.map_err(|_| delivered.lost("the target broke off its stream"))?;
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             cutter.push(&data);
             while let Some(event) = cutter
                 .next_event()
-                .map_err(|e| passed.broken(&e.to_string()))?
+                .map_err(|e| delivered.broken(&e.to_string()))?
             {
-                if !passed.is_next(event.id.as_deref()) {
+                if !delivered.is_next(event.id.as_deref()) {
                     continue;
                 }
-                self.run.set_head(passed_on(&head));
-                self.observer.event(came == 0, sent_at.elapsed());
-                came += 1;
-                passed.note(event.id);
-                self.run.push(event.bytes);
+                self.buffer.set_head(forwarded_head(&head));
+                self.observer.event(event_count == 0, sent_at.elapsed());
+                event_count += 1;
+                delivered.record(event.id);
+                self.buffer.push(event.bytes);
             }
-            if self.run.size() > self.bounds.answer_limit {
-                return Err(passed.broken("the answer is over the limit"));
+            if self.buffer.size() > self.bounds.answer_limit {
+                return Err(delivered.broken("the answer is over the limit"));
             }
         }
         if cutter.is_in_event() {
-            let mut torn = passed.broken("the stream ended inside an event");
-            torn.refusal.connection_lost = ends_with_connection(&head);
-            return Err(torn);
+            let mut truncated = delivered.broken("the stream ended inside an event");
+            truncated.refusal.connection_lost = ends_with_connection(&head);
+            return Err(truncated);
         }
-        self.run.set_head(passed_on(&head));
+        self.buffer.set_head(forwarded_head(&head));
         Ok(())
     }
 }
 
-impl Passed {
+impl Delivered {
     /// Whether an event comes after all that were passed on. A target that goes on after an event
     /// may repeat it.
     fn is_next(&self, id: Option<&str>) -> bool {
@@ -275,22 +289,22 @@
         }
     }
 
-    fn note(&mut self, id: Option<String>) {
+    fn record(&mut self, id: Option<String>) {
         self.events += 1;
         if id.is_some() {
             self.last_event = id;
         }
     }
 
-    fn broken(&self, message: &str) -> Failed {
+    fn broken(&self, message: &str) -> SendFailure {
         broken(message, self.events > 0)
     }
 
-    fn lost(&self, message: &str) -> Failed {
+    fn lost(&self, message: &str) -> SendFailure {
         lost(message, self.events > 0)
     }
 
-    fn silent(&self) -> Failed {
+    fn silent(&self) -> SendFailure {
         let mut silent = self.broken("the target went silent in its stream");
         if self.events == 0 {
             silent.refusal.kind = ErrorKind::TargetSilent;
@@ -299,7 +313,7 @@
     }
 }
 
-fn passed_on(head: &Parts) -> Head {
+fn forwarded_head(head: &Parts) -> Head {
     Head {
         headers: end_to_end::headers(&head.headers),
         status: head.status,
@@ -312,29 +326,29 @@
     !framed.iter().any(|name| head.headers.contains_key(name))
 }
 
-fn failed(kind: ErrorKind, message: impl Into<String>) -> Failed {
-    Failed {
+fn failed(kind: ErrorKind, message: impl Into<String>) -> SendFailure {
+    SendFailure {
         answer: None,
-        how: Failure::Failed,
+        failure: Failure::Failed,
         refusal: Refusal::new(kind, message).ran(Ran::Maybe),
     }
 }
 
-fn broken(message: &str, begun: bool) -> Failed {
+fn broken(message: &str, has_begun: bool) -> SendFailure {
     let mut broken = failed(ErrorKind::BrokenAnswer, message);
-    if begun {
-        broken.how = Failure::BrokenOff;
+    if has_begun {
+        broken.failure = Failure::BrokenOff;
     }
     broken
 }
 
-fn lost(message: &str, begun: bool) -> Failed {
-    let mut lost = broken(message, begun);
+fn lost(message: &str, has_begun: bool) -> SendFailure {
+    let mut lost = broken(message, has_begun);
     lost.refusal.connection_lost = true;
     lost
 }
 
-fn unanswered(e: &client::Error) -> Failed {
+fn unanswered(e: &client::Error) -> SendFailure {
     let kind = match e {
         client::Error::Silent { .. } => ErrorKind::TargetSilent,
         client::Error::Connect { .. } | client::Error::Exchange { .. } => ErrorKind::TargetFailed,
@@ -342,7 +356,7 @@
     let mut unanswered = failed(kind, e.to_string());
     unanswered.refusal.connection_lost = e.is_connection_lost();
     if e.sent_nothing() {
-        unanswered.how = Failure::Unsent;
+        unanswered.failure = Failure::Unsent;
         unanswered.refusal.ran = Ran::No;
     }
     unanswered
--- a/crates/lilaccrankd/src/targets/live_list.rs
+++ b/crates/lilaccrankd/src/targets/live_list.rs
@@ -21,13 +21,13 @@
 use serde::{Deserialize, Serialize};
 
 use crate::daemon::Daemon;
-use crate::orders::keeper;
+use crate::orders::manager;
 use crate::pools::server;
-use crate::targets::lives::Lives;
+use crate::targets::newest_instances::NewestInstances;
 
 /// Time between two looks at whether lapsed targets would be back by now. What is still missing then
 /// has gone, and is to get nothing from that moment on.
-const LAPSED_LOOK: Duration = Duration::from_millis(50);
+const LAPSED_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// What the platform says of targets.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
@@ -49,9 +49,9 @@
     /// Targets that went missing and may only have lapsed.
     lapsed: RefCell<IndexMap<TargetId, (PoolId, Target)>>,
     listing: RefCell<Rc<Listing>>,
-    lives: RefCell<Lives>,
+    instances: RefCell<NewestInstances>,
     /// Told when a list is taken over.
-    taken: Event,
+    updated: Event,
 }
 
 impl Listing {
@@ -66,7 +66,7 @@
     }
 
     /// Logs entries that have become unusable, or are so for another reason.
-    fn tell_unusable(&self, known: &Self) {
+    fn log_unusable(&self, known: &Self) {
         let entries = self.unusable.iter();
         for (entry, why) in entries.filter(|(entry, why)| known.unusable.get(*entry) != Some(*why))
         {
@@ -123,33 +123,35 @@
 
     /// A target of the list.
     #[must_use]
-    pub fn find(&self, pool: &str, life: &TargetLife) -> Option<Target> {
+    pub fn find(&self, pool: &str, instance: &TargetLife) -> Option<Target> {
         let listing = self.listing.borrow();
         let lapsed = self.lapsed.borrow();
         let listed = listing.targets.get(pool).into_iter().flatten();
-        let lapsed = lapsed.get(&life.id).map(|(_, target)| target);
+        let lapsed = lapsed.get(&instance.id).map(|(_, target)| target);
         let mut known = listed.chain(lapsed);
         known
-            .find(|target| TargetLife::of(target) == *life)
+            .find(|target| TargetLife::of(target) == *instance)
             .cloned()
     }
 
     /// Names of targets whose newest life is remembered.
     #[must_use]
-    pub fn remembered(&self) -> usize {
-        self.lives.borrow().len()
+    pub fn instance_count(&self) -> usize {
+        self.instances.borrow().len()
     }
 
     /// Whether a later life of the same target was heard of.
-    fn has_ended(&self, target: &Target) -> bool {
-        self.lives.borrow().is_over(&TargetLife::of(target))
+    fn is_superseded(&self, target: &Target) -> bool {
+        self.instances
+            .borrow()
+            .is_superseded(&TargetLife::of(target))
     }
 
     /// Completes once a later life of the same target is heard of.
-    pub async fn is_over(&self, life: &TargetLife) {
-        while !self.lives.borrow().is_over(life) {
-            let listener = self.taken.listen();
-            if !self.lives.borrow().is_over(life) {
+    pub async fn superseded(&self, instance: &TargetLife) {
+        while !self.instances.borrow().is_superseded(instance) {
+            let listener = self.updated.listen();
+            if !self.instances.borrow().is_superseded(instance) {
                 listener.await;
             }
         }
@@ -157,12 +159,12 @@
 
     /// Takes over a list if it replaces the one known; whether it did. `may_lapse` if entries of
     /// targets that live may be missing from it.
-    pub fn take(&self, mut listing: Listing, may_lapse: bool) -> bool {
+    pub fn update(&self, mut listing: Listing, may_lapse: bool) -> bool {
         let known = self.listing();
         if !listing.replaces(&known) {
             return false;
         }
-        self.lives.borrow_mut().settle(&mut listing, &known);
+        self.instances.borrow_mut().resolve(&mut listing, &known);
         let listed: IndexSet<&TargetId> = listing.all().map(|(_, target)| &target.id).collect();
         let mut lapsed = self.lapsed.borrow_mut();
         lapsed.retain(|id, _| may_lapse && !listed.contains(id));
@@ -175,7 +177,7 @@
             lapsed.extend(missing);
         }
         drop(listed);
-        listing.tell_unusable(&known);
+        listing.log_unusable(&known);
         log::info!(
             lapsed = lapsed.len(),
             leaving = listing.leaving.len(),
@@ -185,7 +187,7 @@
             "list of targets"
         );
         *self.listing.borrow_mut() = Rc::new(listing);
-        self.taken.notify(usize::MAX);
+        self.updated.notify(usize::MAX);
         true
     }
 
@@ -200,18 +202,18 @@
 }
 
 /// Takes over a list that the daemon was told.
-pub fn take(daemon: &Rc<Daemon>, listing: Listing) {
+pub fn apply_listing(daemon: &Rc<Daemon>, listing: Listing) {
     let may_lapse = daemon.heard.may_lapse(MonoioClock.boot());
-    let before = daemon.live_list.listing();
-    if !daemon.live_list.take(listing, may_lapse) {
+    let previous = daemon.live_list.listing();
+    if !daemon.live_list.update(listing, may_lapse) {
         return;
     }
-    for (_, over) in before
+    for (_, ended) in previous
         .all()
-        .filter(|(_, target)| daemon.live_list.has_ended(target))
+        .filter(|(_, target)| daemon.live_list.is_superseded(target))
     {
-        log::info!(born = over.born, target_id = over.id; "a target has started again");
-        daemon.client.forget(&over.address);
+        log::info!(born = ended.born, target_id = ended.id; "a target has started again");
+        daemon.client.forget(&ended.address);
     }
     let unusable = daemon.live_list.listing().unusable.len();
     let unusable = i64::try_from(unusable).unwrap_or(i64::MAX);
@@ -225,7 +227,7 @@
 async fn wait_for_lapsed(daemon: Rc<Daemon>) {
     // Other daemons' words may tell of a later end of the silence than this one's own.
     while daemon.heard.may_lapse(MonoioClock.boot()) {
-        monoio::time::sleep(LAPSED_LOOK).await;
+        monoio::time::sleep(LAPSED_POLL_INTERVAL).await;
     }
     if daemon.live_list.forget_lapsed() {
         changed(&daemon);
@@ -234,5 +236,5 @@
 
 fn changed(daemon: &Rc<Daemon>) {
     server::configuration_changed(daemon);
-    keeper::reconcile(daemon);
+    manager::reconcile(daemon);
 }
--- a/crates/lilaccrankd/src/targets/own_protocol.rs
+++ b/crates/lilaccrankd/src/targets/native_protocol.rs
@@ -6,27 +6,27 @@
 use lilaccrank_http::body::{self, Body};
 
 use crate::targets::engine_stream::{REQUEST_ID, REQUEST_KEY};
-use crate::targets::protocol::{Said, Sending, TargetProtocol};
+use crate::targets::protocol::{AnswerKind, OutgoingRequest, TargetProtocol};
 
 /// The product's own protocol.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnTargets;
+pub struct NativeTargetProtocol;
 
-impl TargetProtocol for OwnTargets {
+impl TargetProtocol for NativeTargetProtocol {
     /// The body untouched, named by the request's id and key.
-    fn request(&self, sending: &Sending<'_>) -> Request<Body> {
-        let proxied = sending.proxied;
+    fn request(&self, outgoing: &OutgoingRequest<'_>) -> Request<Body> {
+        let proxied = outgoing.proxied;
         let mut req = Request::new(body::full(proxied.body.clone()));
         *req.method_mut() = proxied.method.clone();
         *req.uri_mut() = proxied.path.parse().unwrap_or_default();
         *req.headers_mut() = proxied.headers.clone();
         let headers = req.headers_mut();
         headers.insert(HOST, HeaderValue::from_static("target"));
-        let named = [
-            (REQUEST_ID, Some(sending.id)),
-            (REQUEST_KEY, sending.caller.facts.key.as_ref()),
+        let id_headers = [
+            (REQUEST_ID, Some(outgoing.id)),
+            (REQUEST_KEY, outgoing.caller.facts.key.as_ref()),
         ];
-        for (name, value) in named {
+        for (name, value) in id_headers {
             if let Some(value) = value.and_then(|value| HeaderValue::from_str(value).ok()) {
                 headers.insert(name, value);
             }
@@ -34,11 +34,11 @@
         req
     }
 
-    fn read(&self, head: &Parts, _: &Sending<'_>) -> Said {
+    fn classify(&self, head: &Parts, _: &OutgoingRequest<'_>) -> AnswerKind {
         if head.status.is_server_error() {
-            Said::Failed
+            AnswerKind::Failed
         } else {
-            Said::Answer
+            AnswerKind::Answer
         }
     }
 }
--- a/crates/lilaccrankd/src/targets/lives.rs
+++ b/crates/lilaccrankd/src/targets/newest_instances.rs
@@ -14,19 +14,19 @@
 
 /// Names that are remembered beside those that are listed. Targets of two years' size are replaced
 /// some hundred times a day: a late word of one comes within minutes.
-const REMEMBERED: usize = 4_096;
+const MAX_UNLISTED: usize = 4_096;
 
 /// The newest life of each target that was heard of.
 #[derive(Debug, Default)]
-pub struct Lives {
+pub struct NewestInstances {
     newest: IndexMap<TargetId, Born>,
 }
 
-impl Lives {
+impl NewestInstances {
     /// Whether a later life of the same target was heard of.
     #[must_use]
-    pub fn is_over(&self, life: &TargetLife) -> bool {
-        self.newest.get(&life.id) > Some(&life.born)
+    pub fn is_superseded(&self, instance: &TargetLife) -> bool {
+        self.newest.get(&instance.id) > Some(&instance.born)
     }
 
     /// Names that are remembered.
@@ -43,11 +43,11 @@
 
     /// Puts the newest known life in the place of earlier ones in `listing`, and remembers those that
     /// are new. An earlier life whose target is known no more is left out.
-    pub fn settle(&mut self, listing: &mut Listing, known: &Listing) {
+    pub fn resolve(&mut self, listing: &mut Listing, known: &Listing) {
         for (pool, targets) in &mut listing.targets {
-            let settled = std::mem::take(targets).into_iter();
-            let settled = settled.filter_map(|target| self.settled(pool, target, known));
-            *targets = settled.collect();
+            let resolved = std::mem::take(targets).into_iter();
+            let resolved = resolved.filter_map(|target| self.resolved(pool, target, known));
+            *targets = resolved.collect();
         }
         for (_, target) in listing.all() {
             let newest = self.newest.entry(target.id.clone()).or_default();
@@ -56,17 +56,17 @@
         self.forget(listing);
     }
 
-    fn settled(&self, pool: &str, target: Target, known: &Listing) -> Option<Target> {
-        let life = TargetLife::of(&target);
-        if !self.is_over(&life) {
+    fn resolved(&self, pool: &str, target: Target, known: &Listing) -> Option<Target> {
+        let instance = TargetLife::of(&target);
+        if !self.is_superseded(&instance) {
             return Some(target);
         }
         let mut later = known.targets.get(pool).into_iter().flatten();
-        let later = later.find(|later| later.id == life.id && later.born > life.born);
+        let later = later.find(|later| later.id == instance.id && later.born > instance.born);
         log::info!(
-            born = life.born,
+            born = instance.born,
             kept = later.is_some(),
-            target_id = life.id;
+            target_id = instance.id;
             "an earlier life of a target was heard late"
         );
         later.cloned()
@@ -74,16 +74,16 @@
 
     fn forget(&mut self, listing: &Listing) {
         let listed = listing.all().count();
-        let over = self.newest.len().saturating_sub(listed + REMEMBERED);
-        if over == 0 {
+        let excess = self.newest.len().saturating_sub(listed + MAX_UNLISTED);
+        if excess == 0 {
             return;
         }
-        let mut left = over;
+        let mut remaining = excess;
         let listed: IndexSet<&TargetId> = listing.all().map(|(_, target)| &target.id).collect();
         self.newest.retain(|id, _| {
-            let kept = left == 0 || listed.contains(id);
-            left -= usize::from(!kept);
-            kept
+            let is_kept = remaining == 0 || listed.contains(id);
+            remaining -= usize::from(!is_kept);
+            is_kept
         });
     }
 }
--- a/crates/lilaccrankd/src/targets/protocol.rs
+++ b/crates/lilaccrankd/src/targets/protocol.rs
@@ -10,15 +10,15 @@
 use lilaccrank_http::body::Body;
 
 use crate::callers::caller_request::CallerRequest;
-use crate::targets::proxied::Proxied;
+use crate::targets::proxied_request::ProxiedRequest;
 
 /// What targets speak.
 pub trait TargetProtocol {
     /// The request as a target gets it.
-    fn request(&self, sending: &Sending<'_>) -> Request<Body>;
+    fn request(&self, outgoing: &OutgoingRequest<'_>) -> Request<Body>;
 
     /// What the head of an answer says.
-    fn read(&self, head: &Parts, sending: &Sending<'_>) -> Said;
+    fn classify(&self, head: &Parts, outgoing: &OutgoingRequest<'_>) -> AnswerKind;
 
     /// The rate limit that the head of an answer advertises.
     fn rate_limit(&self, _head: &Parts) -> RateLimit {
@@ -28,7 +28,7 @@
 
 /// One request on its way to one target.
 #[derive(Clone, Copy)]
-pub struct Sending<'a> {
+pub struct OutgoingRequest<'a> {
     /// The last event that the caller has, if the target is to go on after it.
     pub after: Option<&'a str>,
     /// The request as its caller sent it.
@@ -36,9 +36,9 @@
     /// The daemon's own name for the request.
     pub id: &'a RequestId,
     /// Time left until the answer is worthless.
-    pub left: Option<Duration>,
+    pub remaining: Option<Duration>,
     /// What is passed on.
-    pub proxied: &'a Proxied,
+    pub proxied: &'a ProxiedRequest,
     /// Where it is sent.
     pub target: &'a Target,
 }
@@ -56,7 +56,7 @@
 
 /// What a target's answer means.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Said {
+pub enum AnswerKind {
     /// It answers the request, whatever its status.
     Answer,
     /// It ran the request and failed.
@@ -64,5 +64,5 @@
     /// It did not run the request, and won't.
     NotRun,
     /// It answers another request, or is no answer at all.
-    Stray,
+    Mismatched,
 }
--- a/crates/lilaccrankd/src/targets/proxied.rs
+++ b/crates/lilaccrankd/src/targets/proxied_request.rs
@@ -10,10 +10,10 @@
 use crate::targets::engine_stream::{REQUEST_ID, REQUEST_KEY};
 
 /// Start of the names of headers that are for daemons.
-const OWN_PREFIX: &str = "lilaccrank-";
+const DAEMON_HEADER_PREFIX: &str = "lilaccrank-";
 /// Headers that are for daemons, or that only a daemon may set. A service that got the caller's
 /// bearer key could send requests as that caller.
-const NOT_PASSED_ON: [HeaderName; 6] = [
+const STRIPPED_HEADERS: [HeaderName; 6] = [
     AUTHORIZATION,
     EXPECT,
     HOST,
@@ -24,7 +24,7 @@
 
 /// A request for a plain service.
 #[derive(Clone, Debug)]
-pub struct Proxied {
+pub struct ProxiedRequest {
     /// The body as it came.
     pub body: Bytes,
     /// Headers for the target.
@@ -35,7 +35,7 @@
     pub path: String,
 }
 
-impl Proxied {
+impl ProxiedRequest {
     /// The request with this head and body.
     #[must_use]
     pub fn new(head: &Parts, body: &Bytes) -> Self {
@@ -53,12 +53,12 @@
 /// the body that was left out would change what the service does.
 fn headers(all: &HeaderMap) -> HeaderMap {
     let mut kept = end_to_end::headers(all);
-    for name in NOT_PASSED_ON {
+    for name in STRIPPED_HEADERS {
         kept.remove(name);
     }
-    let own = |name: &&HeaderName| name.as_str().starts_with(OWN_PREFIX);
-    let own: Vec<_> = kept.keys().filter(own).cloned().collect();
-    for name in own {
+    let is_internal = |name: &&HeaderName| name.as_str().starts_with(DAEMON_HEADER_PREFIX);
+    let internal: Vec<_> = kept.keys().filter(is_internal).cloned().collect();
+    for name in internal {
         kept.remove(name);
     }
     kept
--- a/crates/lilaccrankd/src/targets/relay.rs
+++ b/crates/lilaccrankd/src/targets/relay.rs
@@ -21,10 +21,10 @@
     res: Response<Incoming>,
     connection: Connection,
     bounds: Bounds,
-    run: &AnswerBuffer,
+    buffer: &AnswerBuffer,
 ) -> Result<()> {
     let (parts, mut body) = res.into_parts();
-    run.set_head(Head {
+    buffer.set_head(Head {
         headers: end_to_end::headers(&parts.headers),
         status: parts.status,
     });
@@ -37,9 +37,9 @@
         };
         let frame = frame.map_err(|_| broken("the target broke off its answer"))?;
         if let Ok(data) = frame.into_data() {
-            run.push(data);
+            buffer.push(data);
         }
-        if run.size() > bounds.answer_limit {
+        if buffer.size() > bounds.answer_limit {
             return Err(broken("the answer is over the limit"));
         }
     }
--- a/crates/lilaccrankd/tests/suite/listing.rs
+++ b/crates/lilaccrankd/tests/suite/listing.rs
@@ -37,24 +37,24 @@
 
 /// Revision of the known list and of another, and whether that replaces it.
 macro_rules! replaces {
-    ($name:ident, $known:literal, $other:literal, $does:literal) => {
+    ($name:ident, $known:literal, $other:literal, $is_replaced:literal) => {
         #[test]
         fn $name() {
             let known = live($known, &["a"]);
-            assert_eq!(live($other, &[]).replaces(&known), $does);
+            assert_eq!(live($other, &[]).replaces(&known), $is_replaced);
         }
     };
 }
 
 // A worker has left. A list that went another way still has it; adopted, it would bring the worker
 // back, and requests with it. The size of a list is no argument: all may leave.
-replaces!(a_newer_list, 7, 8, true);
-replaces!(an_older_list, 8, 7, false);
-replaces!(the_same_list, 8, 8, false);
+replaces!(newer_revision_replaces, 7, 8, true);
+replaces!(older_revision_does_not_replace, 8, 7, false);
+replaces!(same_revision_does_not_replace, 8, 8, false);
 
 // A platform that does not count its changes: whatever its last list says, holds.
 #[test]
-fn without_revisions_the_last_list_holds() {
+fn without_revisions_the_latest_list_replaces() {
     let leaving = Listing {
         leaving: IndexSet::from(["vm1".to_owned()]),
         ..Listing::default()
@@ -66,10 +66,10 @@
 
 // In calm times what is removed has gone at once, also if it never said that it leaves.
 #[test]
-fn a_removal_in_calm_times_is_final() {
+fn removal_without_an_outage_is_final() {
     let list = LiveList::default();
-    list.take(live(7, &["a", "b"]), false);
-    list.take(live(8, &["a"]), false);
+    list.update(live(7, &["a", "b"]), false);
+    list.update(live(8, &["a"]), false);
     assert_eq!(ids(&list), ["a"]);
     assert_eq!(list.find(POOL, &TargetLife::from("b")), None);
 }
@@ -77,13 +77,13 @@
 // The platform was silent, and entries of targets that live lapsed. They stay until they come back
 // or their time is over.
 #[test]
-fn what_lapsed_stays_for_a_while() {
+fn lapsed_targets_stay_until_dropped() {
     let list = LiveList::default();
-    list.take(live(7, &["a", "b", "c"]), false);
-    list.take(live(20, &["a"]), true);
+    list.update(live(7, &["a", "b", "c"]), false);
+    list.update(live(20, &["a"]), true);
     assert_eq!(ids(&list), ["a", "b", "c"]);
     assert!(list.find(POOL, &TargetLife::from("b")).is_some());
-    list.take(live(21, &["a", "b"]), true);
+    list.update(live(21, &["a", "b"]), true);
     assert_eq!(ids(&list), ["a", "b", "c"]);
     assert!(list.forget_lapsed());
     assert_eq!(ids(&list), ["a", "b"]);
@@ -92,21 +92,21 @@
 
 // One that had said that it leaves did not lapse: it has left.
 #[test]
-fn what_was_leaving_has_left() {
+fn draining_targets_do_not_lapse() {
     let list = LiveList::default();
     let leaving = [("a", TargetState::Live), ("b", TargetState::Draining)];
-    list.take(listing(7, &leaving), false);
-    list.take(live(20, &["a"]), true);
+    list.update(listing(7, &leaving), false);
+    list.update(live(20, &["a"]), true);
     assert_eq!(ids(&list), ["a"]);
 }
 
 // A list in calm times ends what was kept from a silence before.
 #[test]
-fn calm_times_end_what_was_kept() {
+fn update_without_an_outage_drops_lapsed_targets() {
     let list = LiveList::default();
-    list.take(live(7, &["a", "b"]), false);
-    list.take(live(20, &["a"]), true);
-    list.take(live(21, &["a"]), false);
+    list.update(live(7, &["a", "b"]), false);
+    list.update(live(20, &["a"]), true);
+    list.update(live(21, &["a"]), false);
     assert_eq!(ids(&list), ["a"]);
 }
 
@@ -114,15 +114,15 @@
 // it saw itself. Told what another one keeps, those that were in touch all the while would send
 // to a worker that has left.
 #[test]
-fn what_is_kept_is_not_told() {
+fn lapsed_targets_are_not_in_the_listing() {
     let list = LiveList::default();
-    list.take(live(7, &["a", "b"]), false);
-    list.take(live(20, &["a"]), true);
+    list.update(live(7, &["a", "b"]), false);
+    list.update(live(20, &["a"]), true);
     assert_eq!(*list.listing(), live(20, &["a"]));
 }
 
 /// A target that was born at `born` and is in this state.
-fn born(revision: u64, born: u64, state: TargetState) -> Listing {
+fn listing_of_instance(revision: u64, born: u64, state: TargetState) -> Listing {
     let mut listing = listing(revision, &[("a", state)]);
     listing.targets[POOL][0].born = born;
     listing
@@ -137,43 +137,47 @@
 // The old life of a target was leaving, the new one serves. The entry of the old one is written once
 // more, late, by a store that was slow: the new life stays.
 #[test]
-fn an_earlier_life_never_comes_back() {
+fn an_earlier_instance_never_returns() {
     let list = LiveList::default();
-    list.take(born(7, 100, TargetState::Draining), false);
-    list.take(born(8, 200, TargetState::Live), false);
+    list.update(listing_of_instance(7, 100, TargetState::Draining), false);
+    list.update(listing_of_instance(8, 200, TargetState::Live), false);
     assert_eq!(only(&list), (200, TargetState::Live));
-    list.take(born(9, 100, TargetState::Draining), false);
+    list.update(listing_of_instance(9, 100, TargetState::Draining), false);
     assert_eq!(only(&list), (200, TargetState::Live));
     // Nor does it after the new life has gone.
-    list.take(live(10, &[]), false);
-    list.take(born(11, 100, TargetState::Live), false);
+    list.update(live(10, &[]), false);
+    list.update(listing_of_instance(11, 100, TargetState::Live), false);
     assert_eq!(ids(&list), Vec::<String>::new());
-    list.take(born(12, 300, TargetState::Live), false);
+    list.update(listing_of_instance(12, 300, TargetState::Live), false);
     assert_eq!(only(&list), (300, TargetState::Live));
 }
 
 // A request is looked for at the life that it was granted: the one after it never had it.
 #[test]
-fn a_life_is_found_by_its_birth() {
+fn find_requires_the_same_instance() {
     let list = LiveList::default();
-    list.take(born(7, 100, TargetState::Live), false);
-    let life = TargetLife {
+    list.update(listing_of_instance(7, 100, TargetState::Live), false);
+    let instance = TargetLife {
         born: 100,
         id: "a".to_owned(),
     };
-    assert!(list.find(POOL, &life).is_some());
-    list.take(born(8, 200, TargetState::Live), false);
-    assert_eq!(list.find(POOL, &life), None);
+    assert!(list.find(POOL, &instance).is_some());
+    list.update(listing_of_instance(8, 200, TargetState::Live), false);
+    assert_eq!(list.find(POOL, &instance), None);
 }
 
 // What is remembered of names that are gone is bounded.
 #[test]
-fn a_hundred_thousand_names() {
+fn remembered_instances_are_bounded() {
     let list = LiveList::default();
     for revision in 1..=200 {
         let names: Vec<String> = (0..500).map(|n| format!("t{revision}-{n}")).collect();
         let names: Vec<&str> = names.iter().map(|name| &**name).collect();
-        list.take(live(revision, &names), false);
+        list.update(live(revision, &names), false);
     }
-    assert!(list.remembered() <= 500 + 4_096, "{}", list.remembered());
+    assert!(
+        list.instance_count() <= 500 + 4_096,
+        "{}",
+        list.instance_count()
+    );
 }
--- a/crates/lilaccrankd/tests/suite/load_message.rs
+++ b/crates/lilaccrankd/tests/suite/load_message.rs
@@ -11,18 +11,18 @@
 use quickcheck::{Gen, QuickCheck};
 
 /// Where the member sends from, and another address.
-const HOME: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1)), 3);
-const ELSEWHERE: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 9)), 3);
+const MEMBER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1)), 3);
+const OTHER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 9)), 3);
 const CASES: u64 = 20_000;
 
 fn member() -> Member {
-    let at = |port| SocketAddr::new(HOME.ip(), port);
+    let at = |port| SocketAddr::new(MEMBER_ADDRESS.ip(), port);
     Member {
         admin: at(1),
         data_centre: "portmore".to_owned(),
         gossip: at(2),
         incarnation: 5,
-        peers: HOME,
+        peers: MEMBER_ADDRESS,
         state: State::Live,
         vm: "vm1".to_owned(),
     }
@@ -46,7 +46,7 @@
         }],
         ..Digest::default()
     };
-    let rates = vec![(load_message::customer("hotel"), 3_000)];
+    let rates = vec![(load_message::customer_digest("hotel"), 3_000)];
     LoadMessage {
         advisories: Vec::new(),
         cell_demand: Some(CellDemand {
@@ -56,9 +56,9 @@
         }),
         ending: false,
         incarnation,
-        pools: vec![(load_message::pool("engines"), digest)],
+        pools: vec![(load_message::pool_digest("engines"), digest)],
         sequence: 9,
-        spent: vec![(load_message::customer("hotel"), Spent::default())],
+        spent: vec![(load_message::customer_digest("hotel"), Spent::default())],
     }
 }
 
@@ -73,37 +73,42 @@
     Some(member()).filter(|member| member.peers == from)
 }
 
-fn told(read: Result<LoadMessage, Error>) -> &'static str {
+fn outcome(read: Result<LoadMessage, Error>) -> &'static str {
     match read {
         Ok(_) => "believed",
-        Err(Error::EarlierLife { .. }) => "an earlier life",
-        Err(Error::Unknown { .. }) => "unknown",
+        Err(Error::StaleIncarnation { .. }) => "an earlier life",
+        Err(Error::UnknownSender { .. }) => "unknown",
         Err(Error::Unreadable(_)) => "unreadable",
     }
 }
 
 /// Who says something, in which life and from where, and whether it is believed.
-macro_rules! believed {
-    ($name:ident, $incarnation:literal, $from:expr, $told:literal) => {
+macro_rules! read_from {
+    ($name:ident, $incarnation:literal, $from:expr, $outcome:literal) => {
         #[test]
         fn $name() {
             let read = read(&message($incarnation), $from);
-            assert_eq!(told(read), $told);
+            assert_eq!(outcome(read), $outcome);
         }
     };
 }
 
-believed!(by_a_member, 5, HOME, "believed");
+read_from!(accepts_a_member, 5, MEMBER_ADDRESS, "believed");
 // Its start is not known here yet.
-believed!(by_its_next_life, 6, HOME, "believed");
+read_from!(accepts_a_later_incarnation, 6, MEMBER_ADDRESS, "believed");
 // A datagram was held up while its sender was replaced, or is sent once more by someone: it would put
 // requests on targets that ended with their daemon.
-believed!(by_its_earlier_life, 4, HOME, "an earlier life");
-believed!(from_another_address, 5, ELSEWHERE, "unknown");
+read_from!(
+    rejects_an_earlier_incarnation,
+    4,
+    MEMBER_ADDRESS,
+    "an earlier life"
+);
+read_from!(rejects_an_unknown_address, 5, OTHER_ADDRESS, "unknown");
 
 // Datagrams are cut short and bytes of them are spoilt: each is read or is an error.
 #[test]
-fn spoilt_datagrams() {
+fn corrupted_datagrams_are_read_or_rejected() {
     fn holds(changes: Vec<(usize, u8)>, cut: Option<usize>) -> bool {
         let mut datagram = rmp_serde::to_vec(&message(5)).unwrap();
         for (at, byte) in changes {
@@ -113,7 +118,7 @@
         if let Some(cut) = cut {
             datagram.truncate(cut % datagram.len());
         }
-        LoadMessage::read(&datagram, HOME, known).map_or(true, |(vm, _)| vm == "vm1")
+        LoadMessage::read(&datagram, MEMBER_ADDRESS, known).map_or(true, |(vm, _)| vm == "vm1")
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(6, 11))
@@ -124,12 +129,12 @@
 // A hundred of these come each second to each daemon: with names in them, the talk of seven daemons
 // cost more than the requests that they passed on.
 #[test]
-fn a_message_is_small() {
+fn encoded_message_is_small() {
     let mut message = message(1_790_000_000_000);
     let load = message.pools[0].1.loads[0];
     message.pools[0].1.loads = vec![load; 4];
     let size = rmp_serde::to_vec(&message).unwrap().len();
     assert!(size <= 120, "{size}");
-    let read = read(&message, HOME).unwrap();
+    let read = read(&message, MEMBER_ADDRESS).unwrap();
     assert_eq!(read, message);
 }
