--- a/crates/lilaccrankd/src/orders/jobs.rs
+++ b/crates/lilaccrankd/src/orders/jobs.rs
@@ -23,7 +23,7 @@
 }
 
 struct Job {
-    created_at: Instant,
+    created: Instant,
     req: OrderRequest,
     state: State,
 }
@@ -76,15 +76,13 @@
     if daemon.order_keeper.active_orders(&req.pool).is_none() {
         return OrderReply::Declined;
     }
-    all.retain(|_, job| {
-        matches!(job.state, State::Running) || job.created_at.elapsed() < RETENTION
-    });
+    all.retain(|_, job| matches!(job.state, State::Running) || job.created.elapsed() < RETENTION);
     if all.len() >= MAX_JOBS {
         return refused("too many orders are kept; try again later");
     }
     let token = rand::random();
     let job = Job {
-        created_at: Instant::now(),
+        created: Instant::now(),
         req: req.clone(),
         state: State::AwaitingConfirmation { token },
     };
