--- a/crates/lilaccrankd/src/pools/client/held_grant.rs
+++ b/crates/lilaccrankd/src/pools/client/held_grant.rs
@@ -10,7 +10,7 @@
 use crate::daemon::Daemon;
 use crate::peers::message::PoolMessage;
 
-/// A used grant; dropping it without [`ended`](Self::ended) returns it unused.
+/// A used grant; dropping it without [`finish`](Self::finish) returns it unused.
 pub struct HeldGrant {
     ask: u64,
     daemon: Rc<Daemon>,
