--- a/crates/lilaccrankd/src/callers/attach.rs
+++ b/crates/lilaccrankd/src/callers/attach.rs
@@ -23,7 +23,7 @@
 /// hex.
 pub const ANSWERS_PATH: &str = "/v1/answers/";
 /// Attempts to find an answer whose key was claimed a moment ago.
-const MAX_ATTEMPTS: u32 = 4;
+const ATTEMPT_LIMIT: u32 = 4;
 /// Time between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
@@ -45,7 +45,7 @@
             ..Subject::default()
         },
     );
-    for _ in 0..MAX_ATTEMPTS {
+    for _ in 0..ATTEMPT_LIMIT {
         let found = if entry.vm == daemon.cfg.vm {
             local_reader(daemon, caller)
         } else {
