--- a/crates/lilaccrank/src/advisories.rs
+++ b/crates/lilaccrank/src/advisories.rs
@@ -1,9 +1,9 @@
-//! Advisories: facts that one daemon observes and that bind all daemons.
+//! Advisories: facts that one daemon observes and that all daemons act on.
 //!
-//! Each daemon keeps a set of facts, bounded in number and age. New ones are pushed to its cell with the next
-//! load updates; anti-entropy ([`sync`]) carries them to the rest of the fleet, to daemons that start and
-//! over healed partitions. Merging is idempotent and commutative, so that facts may be duplicated, delayed
-//! and reordered.
+//! Each daemon keeps a set of facts, bounded in number and age. New ones are pushed to its cell
+//! with the next load updates. Anti-entropy ([`sync`]) carries them to the rest of the fleet, to
+//! daemons that start and across partitions that heal. Merging is idempotent and commutative, so
+//! facts may be duplicated, delayed and reordered.
 
 use std::cmp::Reverse;
 use std::time::{Duration, Instant};
@@ -18,73 +18,73 @@
 pub mod record;
 pub mod sync;
 
-/// Targets that have to crash under the same content before it is quarantined. Other requests are on a
-/// target that crashes, too, and are seldom on three of them.
+/// Number of targets that must crash while serving a content before it is quarantined. Unrelated
+/// requests are also in flight on a target that crashes, but rarely on three of them.
 pub const QUARANTINE_CRASHES: usize = 3;
-/// Time to live of a crash.
+/// Time to live of crashes, completions and quarantines.
 pub const LIFETIME: Duration = Duration::from_secs(600);
 /// Time to live of a rate limit after the latest answer that advertised it.
 pub const RATE_LIMIT_LIFETIME: Duration = Duration::from_secs(60);
-/// Age from which a rate limit that is still advertised is propagated again.
-const REFRESH: Duration = Duration::from_secs(15);
-/// Facts kept.
+/// Age of a known rate limit from which the same limit, advertised again, is propagated again.
+const RATE_LIMIT_REFRESH_AGE: Duration = Duration::from_secs(15);
+/// Maximum number of facts kept.
 pub const CAPACITY: usize = 1_024;
-/// Load updates that carry a new fact. More than one may be lost on a bad link.
-const UPDATES: u8 = 3;
+/// Number of load updates that carry a new fact. On a bad link more than one may be lost.
+const TRANSMIT_LIMIT: u8 = 3;
 
 /// Position of a fact in the order in which a daemon received its facts.
 pub type Revision = u64;
 
-/// An observation.
+/// A fact that a daemon observed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub enum Fact {
-    /// A target ended while it had a request with this content.
+    /// A target ended while a request with this content was in flight on it.
     #[serde(rename = "c")]
     Crash {
-        /// The content.
+        /// Digest of the request's content.
         content: ContentDigest,
-        /// The target.
+        /// Digest of the target's ID and start time.
         target: LifeDigest,
     },
     /// A target answered a request with this content completely.
     #[serde(rename = "d")]
     Completed {
-        /// The content.
+        /// Digest of the request's content.
         content: ContentDigest,
     },
     /// The platform's store holds a quarantine of this content.
     #[serde(rename = "q")]
     Quarantined {
-        /// The content.
+        /// Digest of the request's content.
         content: ContentDigest,
     },
     /// The rate limit that a target advertised with its latest answer.
     #[serde(rename = "r")]
     RateLimit {
-        /// Requests in 1,000 seconds; `None` if there is no limit any more.
+        /// Requests per 1,000 seconds; `None` if the target no longer has a limit.
         per_1000_s: Option<u32>,
-        /// The target.
+        /// Digest of the target's ID and start time.
         target: LifeDigest,
     },
 }
 
-/// A fact on the wire.
+/// A fact with its age, as sent to other daemons.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Advisory {
-    /// Milliseconds since it was observed.
+    /// Milliseconds since the fact was observed.
     pub age_ms: u32,
-    /// The observation.
+    /// The fact.
     pub fact: Fact,
 }
 
-/// The facts of one daemon.
+/// The set of facts that one daemon knows.
 #[derive(Debug, Default)]
 pub struct Advisories {
     facts: IndexMap<Key, Record>,
     revision: Revision,
 }
 
-/// What a fact is about; a later one about the same takes its place.
+/// Identifies the subject of a fact. A newer fact with the same key replaces the older one.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Key {
     Completed(ContentDigest),
@@ -97,9 +97,9 @@
 struct Record {
     fact: Fact,
     revision: Revision,
-    seen: Instant,
-    /// Load updates that have carried it.
-    updates: u8,
+    observed_at: Instant,
+    /// Number of load updates that have carried the fact.
+    transmissions: u8,
 }
 
 impl Fact {
@@ -131,7 +131,7 @@
 
 impl Record {
     fn advisory(&self, now: Instant) -> Advisory {
-        let age = now.saturating_duration_since(self.seen);
+        let age = now.saturating_duration_since(self.observed_at);
         Advisory {
             age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
             fact: self.fact,
@@ -139,63 +139,66 @@
     }
 
     fn is_current(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.seen) < self.fact.lifetime()
+        now.saturating_duration_since(self.observed_at) < self.fact.lifetime()
     }
 
-    /// Whether another fact with the same key, observed at `seen`, replaces this one.
-    fn is_superseded(&self, fact: Fact, seen: Instant) -> bool {
-        let later = seen.saturating_duration_since(self.seen);
+    /// Returns `true` if `fact`, which has the same key, replaces this record.
+    fn is_superseded(&self, fact: Fact, observed_at: Instant) -> bool {
+        let later = observed_at.saturating_duration_since(self.observed_at);
         match fact {
             Fact::Crash { .. } | Fact::Quarantined { .. } => false,
-            Fact::RateLimit { .. } if fact == self.fact => later >= REFRESH,
+            Fact::RateLimit { .. } if fact == self.fact => later >= RATE_LIMIT_REFRESH_AGE,
             Fact::Completed { .. } | Fact::RateLimit { .. } => !later.is_zero(),
         }
     }
 }
 
 impl Advisories {
-    /// Whether there are no facts.
+    /// Returns `true` if no facts are known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty()
     }
 
-    /// Number of facts.
+    /// Number of known facts.
     #[must_use]
     pub fn len(&self) -> usize {
         self.facts.len()
     }
 
-    /// Adds an observation of this daemon. Returns whether it is new.
+    /// Adds a fact that this daemon observed. Returns `true` if it is new.
     pub fn note(&mut self, fact: Fact, now: Instant) -> bool {
         self.insert(fact, now, 0, now)
     }
 
-    /// Merges facts of another daemon. Returns those that are new.
+    /// Merges facts from another daemon and returns those that are new. They go into the next
+    /// load updates.
     pub fn merge(&mut self, advisories: &[Advisory], now: Instant) -> Vec<Fact> {
         self.merge_with(advisories, 0, now)
     }
 
-    /// Merges facts of a load update, which all daemons of the cell receive from its sender.
+    /// Merges facts from a load update and returns those that are new. They are not forwarded in
+    /// load updates, since the sender has sent them to all daemons of the cell.
     pub fn merge_update(&mut self, advisories: &[Advisory], now: Instant) -> Vec<Fact> {
-        self.merge_with(advisories, UPDATES, now)
+        self.merge_with(advisories, TRANSMIT_LIMIT, now)
     }
 
-    /// How long requests with this content are still quarantined: enough targets crashed under it, and
-    /// none has completed it since.
+    /// Time for which requests with this content remain quarantined; `None` if they are not. A
+    /// content is quarantined if a stored quarantine is known, or if [`QUARANTINE_CRASHES`] targets
+    /// crashed while serving it. A later completion lifts the quarantine.
     #[must_use]
-    pub fn quarantine(&self, content: ContentDigest, now: Instant) -> Option<Duration> {
-        let recorded = self.facts.get(&Key::Quarantined(content));
-        let recorded = recorded.map(|record| record.seen);
-        let mut seen: Vec<_> = self.crashes(content, now).collect();
-        seen.sort_unstable_by_key(|at| Reverse(*at));
-        let by_crashes = seen.get(QUARANTINE_CRASHES - 1).copied();
-        let since = recorded.max(by_crashes)?;
-        let left = (since + LIFETIME).checked_duration_since(now);
-        left.filter(|left| !left.is_zero())
+    pub fn quarantine_remaining(&self, content: ContentDigest, now: Instant) -> Option<Duration> {
+        let stored_at = self.facts.get(&Key::Quarantined(content));
+        let stored_at = stored_at.map(|record| record.observed_at);
+        let mut crash_times: Vec<_> = self.crashes(content, now).collect();
+        crash_times.sort_unstable_by_key(|at| Reverse(*at));
+        let by_crashes = crash_times.get(QUARANTINE_CRASHES - 1).copied();
+        let since = stored_at.max(by_crashes)?;
+        let remaining = (since + LIFETIME).checked_duration_since(now);
+        remaining.filter(|remaining| !remaining.is_zero())
     }
 
-    /// Contents that are quarantined, and for how long they have been.
+    /// Quarantined contents, with the time since each quarantine began.
     #[must_use]
     pub fn quarantined(&self, now: Instant) -> Vec<(ContentDigest, Duration)> {
         let contents = self
@@ -203,33 +206,39 @@
             .values()
             .filter_map(|record| record.fact.content());
         let contents: IndexSet<_> = contents.collect();
-        let left = |content: ContentDigest| {
-            let left = self.quarantine(content, now)?;
-            Some((content, LIFETIME.saturating_sub(left)))
+        let remaining = |content: ContentDigest| {
+            let remaining = self.quarantine_remaining(content, now)?;
+            Some((content, LIFETIME.saturating_sub(remaining)))
         };
-        contents.into_iter().filter_map(left).collect()
+        contents.into_iter().filter_map(remaining).collect()
     }
 
-    /// Adds a quarantine of this age from the platform's store. Returns whether it is new.
-    pub fn note_recorded(&mut self, content: ContentDigest, age: Duration, now: Instant) -> bool {
-        let seen = now.checked_sub(age).unwrap_or(now);
-        self.insert(Fact::Quarantined { content }, seen, 0, now)
+    /// Adds a quarantine of the given age that was read from the platform's store. Returns `true`
+    /// if it is new.
+    pub fn note_stored_quarantine(
+        &mut self,
+        content: ContentDigest,
+        age: Duration,
+        now: Instant,
+    ) -> bool {
+        let observed_at = now.checked_sub(age).unwrap_or(now);
+        self.insert(Fact::Quarantined { content }, observed_at, 0, now)
     }
 
-    /// Whether a target crashed lately.
+    /// Returns `true` if any crash is known.
     #[must_use]
     pub fn has_crashes(&self) -> bool {
         let mut facts = self.facts.keys();
         facts.any(|key| matches!(key, Key::Crash(..)))
     }
 
-    /// Whether a target crashed under this content lately.
+    /// Returns `true` if a target crashed within [`LIFETIME`] while serving this content.
     #[must_use]
     pub fn is_suspect(&self, content: ContentDigest, now: Instant) -> bool {
         self.crashes(content, now).next().is_some()
     }
 
-    /// Advertised rate limits that hold, in requests per second.
+    /// Rate limits that targets currently advertise, in requests per second.
     pub fn rate_limits(&self, now: Instant) -> impl Iterator<Item = (LifeDigest, f64)> {
         let current = self.facts.values();
         let current = current.filter(move |record| record.is_current(now));
@@ -241,19 +250,26 @@
         })
     }
 
-    /// New facts for the next load update, `limit` at most.
+    /// Facts for the next load update, at most `limit`.
     pub fn take_updates(&mut self, limit: usize, now: Instant) -> Vec<Advisory> {
         let new = self.facts.values_mut();
-        let new = new.filter(|record| record.updates < UPDATES && record.is_current(now));
+        let new =
+            new.filter(|record| record.transmissions < TRANSMIT_LIMIT && record.is_current(now));
         let taken = new.take(limit).map(|record| {
-            record.updates += 1;
+            record.transmissions += 1;
             record.advisory(now)
         });
         taken.collect()
     }
 
-    /// Facts received after `revision`, `limit` at most, and the revision up to which they are complete.
-    fn after(&self, revision: Revision, limit: usize, now: Instant) -> (Vec<Advisory>, Revision) {
+    /// Facts received after `revision`, at most `limit`, and the revision up to which they are
+    /// complete.
+    fn facts_after(
+        &self,
+        revision: Revision,
+        limit: usize,
+        now: Instant,
+    ) -> (Vec<Advisory>, Revision) {
         let later = self.facts.values();
         let mut later: Vec<_> = later.filter(|record| record.revision > revision).collect();
         later.sort_unstable_by_key(|record| record.revision);
@@ -261,39 +277,53 @@
             Some(_) => later[limit - 1].revision,
             None => self.revision,
         };
-        let told = later.into_iter().take(limit);
-        let told = told.filter(|record| record.is_current(now));
-        (told.map(|record| record.advisory(now)).collect(), up_to)
+        let page = later.into_iter().take(limit);
+        let page = page.filter(|record| record.is_current(now));
+        (page.map(|record| record.advisory(now)).collect(), up_to)
     }
 
-    fn merge_with(&mut self, advisories: &[Advisory], updates: u8, now: Instant) -> Vec<Fact> {
+    fn merge_with(
+        &mut self,
+        advisories: &[Advisory],
+        transmissions: u8,
+        now: Instant,
+    ) -> Vec<Fact> {
         let mut new = Vec::new();
         for advisory in advisories {
             let age = Duration::from_millis(advisory.age_ms.into());
-            let seen = now.checked_sub(age).unwrap_or(now);
-            if age < advisory.fact.lifetime() && self.insert(advisory.fact, seen, updates, now) {
+            let observed_at = now.checked_sub(age).unwrap_or(now);
+            if age < advisory.fact.lifetime()
+                && self.insert(advisory.fact, observed_at, transmissions, now)
+            {
                 new.push(advisory.fact);
             }
         }
         new
     }
 
-    fn insert(&mut self, fact: Fact, seen: Instant, updates: u8, now: Instant) -> bool {
+    fn insert(
+        &mut self,
+        fact: Fact,
+        observed_at: Instant,
+        transmissions: u8,
+        now: Instant,
+    ) -> bool {
         self.facts.retain(|_, record| record.is_current(now));
-        if !self.is_news(fact, seen, now) {
+        if !self.is_new(fact, observed_at, now) {
             return false;
         }
         if let Fact::Completed { content } = fact {
-            let of = Some(content);
-            self.facts
-                .retain(|_, record| record.fact.content() != of || record.seen > seen);
+            let subject = Some(content);
+            self.facts.retain(|_, record| {
+                record.fact.content() != subject || record.observed_at > observed_at
+            });
         }
         self.revision += 1;
         let record = Record {
             fact,
             revision: self.revision,
-            seen,
-            updates,
+            observed_at,
+            transmissions,
         };
         self.facts.insert(fact.key(), record);
         if self.facts.len() > CAPACITY {
@@ -302,37 +332,37 @@
         true
     }
 
-    /// Whether a fact changes the set.
-    fn is_news(&self, fact: Fact, seen: Instant, now: Instant) -> bool {
+    /// Returns `true` if inserting the fact would change the set.
+    fn is_new(&self, fact: Fact, observed_at: Instant, now: Instant) -> bool {
         if let Some(known) = self.facts.get(&fact.key()) {
-            return known.is_superseded(fact, seen);
+            return known.is_superseded(fact, observed_at);
         }
         match fact {
             Fact::Crash { content, .. } => {
-                self.is_later_than_completed(content, seen)
+                self.is_later_than_completed(content, observed_at)
                     && self.crashes(content, now).count() < QUARANTINE_CRASHES
             }
-            Fact::Quarantined { content } => self.is_later_than_completed(content, seen),
+            Fact::Quarantined { content } => self.is_later_than_completed(content, observed_at),
             Fact::Completed { .. } => true,
             Fact::RateLimit { per_1000_s, .. } => per_1000_s.is_some(),
         }
     }
 
-    fn is_later_than_completed(&self, content: ContentDigest, seen: Instant) -> bool {
+    fn is_later_than_completed(&self, content: ContentDigest, observed_at: Instant) -> bool {
         let completed = self.facts.get(&Key::Completed(content));
-        completed.is_none_or(|record| record.seen < seen)
+        completed.is_none_or(|record| record.observed_at < observed_at)
     }
 
-    /// When targets crashed under this content.
+    /// Times at which targets crashed while serving this content.
     fn crashes(&self, content: ContentDigest, now: Instant) -> impl Iterator<Item = Instant> {
         let crashes = self.facts.values().filter(move |record| {
-            matches!(record.fact, Fact::Crash { content: of, .. } if of == content)
+            matches!(record.fact, Fact::Crash { content: subject, .. } if subject == content)
                 && record.is_current(now)
         });
-        crashes.map(|record| record.seen)
+        crashes.map(|record| record.observed_at)
     }
 
-    /// Drops the oldest fact that no quarantine rests on.
+    /// Drops the oldest fact that no quarantine depends on, or else the oldest of all.
     fn evict(&mut self) {
         let mut crashes: IndexMap<ContentDigest, usize> = IndexMap::new();
         for record in self.facts.values() {
@@ -349,7 +379,8 @@
             content.is_some_and(|content| crashes[&content] >= QUARANTINE_CRASHES)
         };
         let records = self.facts.values().enumerate();
-        let oldest = records.min_by_key(|(_, record)| (is_quarantined(record.fact), record.seen));
+        let oldest =
+            records.min_by_key(|(_, record)| (is_quarantined(record.fact), record.observed_at));
         if let Some((index, _)) = oldest {
             self.facts.swap_remove_index(index);
         }
--- a/crates/lilaccrank/src/dispatch/recovery.rs
+++ b/crates/lilaccrank/src/dispatch/recovery.rs
@@ -1,7 +1,7 @@
-//! Change of dispatcher and death of entries.
+//! Change of dispatcher and failure of entry daemons.
 //!
-//! The dispatcher's state is soft: the entries own their requests and tell a new dispatcher what
-//! they have.
+//! The dispatcher's state is soft: entry daemons own their requests and send them to a new
+//! dispatcher.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use crate::error_kind::ErrorKind;
 use crate::ids::RequestId;
 
-/// A new dispatcher's wait for the entries.
+/// Handover to a new dispatcher that waits for the entry daemons.
 #[derive(Debug)]
 pub(super) struct Handover {
     expected: IndexSet<Entry>,
@@ -23,9 +23,9 @@
 }
 
 impl State {
-    /// Grants nothing until all `expected` entries have resynced or the grace is over. Before
-    /// that the queue is not known: a grant could pass more urgent work that is yet to be told,
-    /// and fill targets that run requests of others.
+    /// Grants nothing until all `expected` entry daemons have resynced or the grace period is over.
+    /// Until then the queue is incomplete: a grant could overtake more urgent work that is not yet
+    /// known, or overload targets that run unknown requests.
     pub(super) fn begin_handover(&mut self, expected: Vec<Entry>, grace: Duration, now: Instant) {
         self.handover = Some(Handover {
             expected: expected.into_iter().collect(),
@@ -34,10 +34,10 @@
         self.check_handover(now);
     }
 
-    /// Ends a handover that is complete or late.
+    /// Ends a handover that is complete or has timed out.
     pub(super) fn check_handover(&mut self, now: Instant) {
-        let over = |handover: &Handover| handover.expected.is_empty() || now >= handover.until;
-        if self.handover.as_ref().is_some_and(over) {
+        let is_over = |handover: &Handover| handover.expected.is_empty() || now >= handover.until;
+        if self.handover.as_ref().is_some_and(is_over) {
             self.handover = None;
             self.dispatch(now);
             self.shed(now);
@@ -47,15 +47,15 @@
         }
     }
 
-    /// Replaces what is known of one entry by what it tells.
+    /// Replaces the state of one entry daemon with its resync.
     pub(super) fn resync(&mut self, resync: Resync, now: Instant) {
-        self.forget_earlier_lives(&resync.entry, now);
+        self.drop_earlier_incarnations(&resync.entry, now);
         let running = resync.running.iter().map(|running| &running.ask);
-        let told: IndexSet<RequestId> = running
+        let reported: IndexSet<RequestId> = running
             .chain(&resync.waiting)
             .map(|ask| ask.request.clone())
             .collect();
-        self.drop_untold(&resync.entry, &told, now);
+        self.drop_unreported(&resync.entry, &reported, now);
         for running in resync.running {
             self.take_over_running(running, now);
         }
@@ -70,7 +70,8 @@
         self.shed(now);
     }
 
-    /// Drops all that a dead entry had: nobody waits for it any more.
+    /// Removes all requests of an entry daemon that has failed, since nobody waits for them any
+    /// more.
     pub(super) fn forget_entry(&mut self, entry: &Entry, now: Instant) {
         self.drop_requests_of(|other| other == entry, now);
         if let Some(handover) = &mut self.handover {
@@ -80,55 +81,59 @@
         self.dispatch(now);
     }
 
-    fn forget_earlier_lives(&mut self, entry: &Entry, now: Instant) {
-        let earlier = |other: &Entry| other.vm == entry.vm && other.incarnation < entry.incarnation;
-        self.drop_requests_of(earlier, now);
+    fn drop_earlier_incarnations(&mut self, entry: &Entry, now: Instant) {
+        let is_earlier =
+            |other: &Entry| other.vm == entry.vm && other.incarnation < entry.incarnation;
+        self.drop_requests_of(is_earlier, now);
         if let Some(handover) = &mut self.handover {
-            handover.expected.retain(|other| !earlier(other));
+            handover.expected.retain(|other| !is_earlier(other));
         }
     }
 
-    fn drop_requests_of(&mut self, of: impl Fn(&Entry) -> bool, now: Instant) {
+    fn drop_requests_of(&mut self, matches_entry: impl Fn(&Entry) -> bool, now: Instant) {
         let waiting = self.waiting.values();
-        let waiting = waiting.filter(|waiting| of(&entry_of(&waiting.ask)));
+        let waiting = waiting.filter(|waiting| matches_entry(&entry_of(&waiting.ask)));
         let waiting: Vec<RequestId> = waiting.map(|w| w.ask.request.clone()).collect();
-        let held = self.reservations.iter().filter(|(_, held)| of(&held.entry));
-        let held: Vec<RequestId> = held.map(|(request, _)| request.clone()).collect();
+        let granted = self
+            .active_grants
+            .iter()
+            .filter(|(_, granted)| matches_entry(&granted.entry));
+        let granted: Vec<RequestId> = granted.map(|(request, _)| request.clone()).collect();
         for request in waiting {
             self.refuse(&request, ErrorKind::Cancelled, None);
         }
-        for request in held {
+        for request in granted {
             self.release(&request, now);
         }
     }
 
-    /// Drops what the entry no longer knows. A call that still waits here, or a grant that it
-    /// has not confirmed, may be younger than the resync and is kept; the end of the call or the
-    /// lapse of the grant clears it.
-    fn drop_untold(&mut self, entry: &Entry, told: &IndexSet<RequestId>, now: Instant) {
+    /// Removes requests that the entry daemon no longer has. An ask with a waiting call, or an
+    /// unconfirmed grant, may be newer than the resync and is kept; it ends with the call or when
+    /// the grant expires.
+    fn drop_unreported(&mut self, entry: &Entry, reported: &IndexSet<RequestId>, now: Instant) {
         let waiting = self.waiting.values().filter(|waiting| {
             waiting.waiter.is_none()
                 && entry_of(&waiting.ask) == *entry
-                && !told.contains(&waiting.ask.request)
+                && !reported.contains(&waiting.ask.request)
         });
         let waiting: Vec<RequestId> = waiting.map(|w| w.ask.request.clone()).collect();
-        let held = self.reservations.iter().filter(|(request, held)| {
-            held.began && held.entry == *entry && !told.contains(*request)
+        let granted = self.active_grants.iter().filter(|(request, granted)| {
+            granted.began && granted.entry == *entry && !reported.contains(*request)
         });
-        let held: Vec<RequestId> = held.map(|(request, _)| request.clone()).collect();
+        let granted: Vec<RequestId> = granted.map(|(request, _)| request.clone()).collect();
         for request in waiting {
             self.refuse(&request, ErrorKind::Cancelled, None);
         }
-        for request in held {
+        for request in granted {
             self.release(&request, now);
         }
     }
 
     fn take_over_running(&mut self, running: Running, now: Instant) {
         let request = running.ask.request.clone();
-        let held = self.reservations.get_mut(&request);
-        if let Some(held) = held.filter(|held| held.ask >= running.ask.ask) {
-            held.began |= held.ask == running.ask.ask;
+        let granted = self.active_grants.get_mut(&request);
+        if let Some(granted) = granted.filter(|granted| granted.ask >= running.ask.ask) {
+            granted.began |= granted.ask == running.ask.ask;
             return;
         }
         let waiting = self.waiting.get(&request);
@@ -142,38 +147,41 @@
             None => work(&running.ask).prefill,
         };
         let choice = Choice {
-            earliest: 0.0,
+            earliest_completion: 0.0,
             prefill,
             target: running.target,
         };
-        // A target that the configuration doesn't name gets nothing new, and still counts.
+        // A target that isn't in the configuration gets no new work, but its load still counts.
         self.targets
             .entry(choice.target.clone())
-            .or_insert_with(|| Target::leaving(choice.target.clone(), now));
+            .or_insert_with(|| Target::unlisted(choice.target.clone(), now));
         let waiting = Waiting {
-            counted: self.limits.take_over(&running.ask, now),
+            counter_key: self.limits.take_over(&running.ask, now),
             ask: running.ask,
             deadline: None,
             delayed: Cell::default(),
             waiter: None,
         };
         self.reserve(&waiting, &choice, now);
-        if let Some(held) = self.reservations.get_mut(&request) {
-            held.began = true;
+        if let Some(granted) = self.active_grants.get_mut(&request) {
+            granted.began = true;
         }
     }
 
     fn take_over_waiting(&mut self, ask: Ask, now: Instant) {
         let waiting = self.waiting.get(&ask.request).map(|w| w.ask.ask);
-        let held = self.reservations.get(&ask.request).map(|held| held.ask);
-        let known = waiting.max(held) >= Some(ask.ask);
+        let granted = self
+            .active_grants
+            .get(&ask.request)
+            .map(|granted| granted.ask);
+        let known = waiting.max(granted) >= Some(ask.ask);
         if known {
             return;
         }
         self.refuse(&ask.request, ErrorKind::Cancelled, None);
         self.release(&ask.request, now);
-        let counted = self.limits.take_over(&ask, now);
-        self.enqueue(ask, counted, now);
+        let counter_key = self.limits.take_over(&ask, now);
+        self.enqueue(ask, counter_key, now);
     }
 }
 
--- a/crates/lilaccrank/tests/suite/dispatch_affinity.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_affinity.rs
@@ -1,4 +1,5 @@
-//! Prefixes at the dispatcher: what is believed, waited for and given up.
+//! Prefix affinity: which blocks the dispatcher assumes to be cached and how long requests wait for
+//! a target that has their prefix.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,13 +8,13 @@
 use lilaccrank::prompt;
 use lilaccrank::target_life::TargetLife;
 
-use crate::dispatch_cases::{FIRST_TOKEN, ask, granted, harness};
+use crate::dispatch_fixtures::{FIRST_TOKEN, ask, granted, harness};
 use crate::dispatch_harness::Harness;
 
-// A long prompt goes to an engine that dropped it. The event of the eviction was lost in a gap.
-// After a gap nothing is believed of that target.
+// Guards against a long prompt sent to an engine that has evicted it, when the batch with the eviction
+// was lost. A gap in the sequence numbers drops as many blocks as the lost batches may have evicted.
 #[test]
-fn a_gap_drops_the_belief() {
+fn large_sequence_gap_clears_the_cached_blocks() {
     let harness = harness(&[8, 8]);
     let target = TargetLife::from("t1");
     let stored: Vec<CacheEvent> = (0..8).map(CacheEvent::Stored).collect();
@@ -29,10 +30,10 @@
     assert_eq!(cached(&harness), 1);
 }
 
-// Long prompts are read again and again, and answers come late. One event of an eviction was lost,
-// and all that was believed of the target with it. One lost event costs one block, the oldest.
+// Guards against prefilling long prompts again and again because one lost event cleared all cached
+// blocks of a target. With batches of one event, each lost batch drops one block, the oldest.
 #[test]
-fn a_small_gap_drops_little() {
+fn lost_event_drops_the_oldest_block() {
     let harness = harness(&[8, 8]);
     let target = TargetLife::from("t1");
     let stored = |sequence: u64| {
@@ -50,53 +51,54 @@
     assert_eq!(cached(), 1);
 }
 
-// A survey is read twice. The second caller's comes while an engine reads the first one, finds
-// nothing in the cache and is read next to it. It waits for the first token of the first one, but
-// no longer than three times its own reading.
+// Guards against prefilling the same prefix twice: a second request arrives while an engine still
+// prefills the first one and finds nothing in the cache. It waits for the first token of the first
+// request, but no longer than three times its own prefill. The most urgent tier does not wait.
 #[test]
-fn a_prefix_in_reading_is_waited_for() {
+fn ask_waits_for_a_prefix_in_prefill() {
     let mut harness = harness(&[8, 8]);
-    let survey = |request: &str, seed: u8, tier: u8| Ask {
+    let ask_with_prefix = |request: &str, seed: u8, tier: u8| Ask {
         prefix: prompt::digests(&[seed; 2000], 64),
         prompt_tokens: 2000,
         ..ask(request, tier)
     };
-    harness.ask(survey("first", 1, 1));
-    let (_, reader) = harness.grants().remove(0);
-    harness.ask(survey("second", 1, 1));
+    harness.ask(ask_with_prefix("first", 1, 1));
+    let (_, prefill_target) = harness.grants().remove(0);
+    harness.ask(ask_with_prefix("second", 1, 1));
     assert_eq!(harness.grants(), []);
-    harness.ask(survey("urgent", 1, 0));
+    harness.ask(ask_with_prefix("urgent", 1, 0));
     assert_eq!(harness.grants().len(), 1);
-    harness.report("first", &reader, FIRST_TOKEN);
-    assert_eq!(harness.grants(), granted("second", &reader));
+    harness.report("first", &prefill_target, FIRST_TOKEN);
+    assert_eq!(harness.grants(), granted("second", &prefill_target));
 
-    harness.ask(survey("third", 2, 1));
+    harness.ask(ask_with_prefix("third", 2, 1));
     assert_eq!(harness.grants().len(), 1);
-    harness.ask(survey("fourth", 2, 1));
+    harness.ask(ask_with_prefix("fourth", 2, 1));
     harness.advance(Duration::from_millis(700));
     assert_eq!(harness.grants(), []);
     harness.advance(Duration::from_millis(100));
     assert_eq!(harness.grants().len(), 1);
 }
 
-// A prompt is read anew although an engine holds it; or all with one prefix queue at its holder
-// while others idle. The holder is chosen until the wait there costs more than the reading.
+// Guards against prefilling a prompt again although a target has it cached, and against queueing all
+// requests with one prefix at that target while others are idle. It is chosen until the wait there
+// costs more than the prefill.
 #[test]
 fn affinity_yields_to_load() {
     let mut harness = harness(&[64, 64]);
     let prefix = prompt::digests(&[7; 2000], 64);
-    let shared = |i: u32| Ask {
+    let ask_with_shared_prefix = |i: u32| Ask {
         prefix: prefix.clone(),
         prompt_tokens: 2000,
         ..ask(&format!("r{i}"), 0)
     };
-    harness.ask(shared(0));
-    let (_, holder) = harness.grants().remove(0);
-    harness.report("r0", &holder, FIRST_TOKEN);
-    harness.ask(shared(1));
-    assert_eq!(harness.grants(), granted("r1", &holder));
+    harness.ask(ask_with_shared_prefix(0));
+    let (_, cache_target) = harness.grants().remove(0);
+    harness.report("r0", &cache_target, FIRST_TOKEN);
+    harness.ask(ask_with_shared_prefix(1));
+    assert_eq!(harness.grants(), granted("r1", &cache_target));
     for i in 2..60 {
-        harness.ask(shared(i));
+        harness.ask(ask_with_shared_prefix(i));
     }
     let mut counts = BTreeMap::new();
     for (_, target) in harness.grants() {
@@ -105,25 +107,25 @@
     assert_eq!(counts.len(), 2, "{counts:?}");
 }
 
-// In a full pool every prompt is read again, since the slot that comes free is mostly not at its
-// holder. An ask lets others pass for three times the reading that its holder saves, then
-// goes anywhere.
+// Guards against prefilling every prompt again in a full pool, where the next free slot is mostly at a
+// target without the prefix. A request lets others pass for three times the prefill that the cached
+// prefix saves, then takes any target.
 #[test]
-fn an_ask_waits_for_its_holder_a_while() {
+fn wait_for_the_target_with_the_prefix_is_bounded() {
     let mut harness = harness(&[2, 2]);
-    let shared = |request: &str, tier: u8| Ask {
+    let ask_with_shared_prefix = |request: &str, tier: u8| Ask {
         prefix: prompt::digests(&[7; 2000], 64),
         prompt_tokens: 2000,
         ..ask(request, tier)
     };
     for request in ["x", "y"] {
         let exclusions = vec![TargetLife::from("t1")];
-        let ask = shared(request, 0);
+        let ask = ask_with_shared_prefix(request, 0);
         harness.ask(Ask { exclusions, ..ask });
         harness.report(request, "t0", FIRST_TOKEN);
     }
     assert_eq!(harness.grants().len(), 2);
-    harness.ask(shared("first", 1));
+    harness.ask(ask_with_shared_prefix("first", 1));
     let customer = "quarry".to_owned();
     let other = ask("other", 1);
     harness.ask(Ask { customer, ..other });
@@ -131,16 +133,17 @@
     harness.end("x", "t0");
     assert_eq!(harness.grants(), granted("first", "t0"));
     harness.end("other", "t1");
-    harness.ask(shared("second", 1));
+    harness.ask(ask_with_shared_prefix("second", 1));
     harness.advance(Duration::from_millis(700));
     assert_eq!(harness.grants(), []);
     harness.advance(Duration::from_millis(100));
     assert_eq!(harness.grants(), granted("second", "t1"));
 }
 
-// Memory grows with each prompt ever seen: beliefs are bounded, the least recently used go.
+// Guards against memory that grows with each prompt ever seen: the least recently used blocks are
+// dropped.
 #[test]
-fn beliefs_are_bounded() {
+fn cached_blocks_are_bounded() {
     let harness = harness(&[8]);
     let target = TargetLife::from("t0");
     let stored: Vec<CacheEvent> = (0..10_000).map(CacheEvent::Stored).collect();
--- a/crates/lilaccrank/tests/suite/dispatch_resumed.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_resumed.rs
@@ -1,4 +1,4 @@
-//! Answers that another target is to resume.
+//! Partial answers that are to be resumed on another target.
 
 use std::time::{Duration, Instant};
 
@@ -6,13 +6,14 @@
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::stream_progress::StreamProgress;
 
-use crate::dispatch_cases::{ask, granted, harness, refused};
+use crate::dispatch_fixtures::{ask, granted, harness, refused};
 use crate::dispatch_harness::Harness;
 
+/// First-token objective of the asks.
 const OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// An ask with a time for the first token and one for the whole answer.
-fn hurried(request: &str, tier: u8) -> Ask {
+/// Returns an ask with a first-token objective and a deadline of 10 s.
+fn ask_with_objective(request: &str, tier: u8) -> Ask {
     Ask {
         deadline: Some(Duration::from_secs(10)),
         objective: Some(OBJECTIVE),
@@ -21,19 +22,20 @@
     }
 }
 
-/// An ask to resume behind 400 tokens; where it is, the rest comes in so many seconds.
-fn resumes(request: &str, tier: u8, remaining: Option<u64>) -> Ask {
+/// Returns an ask to resume an answer after 400 tokens. `remaining` is the time in seconds that its
+/// current target would need for the rest.
+fn ask_to_resume(request: &str, tier: u8, remaining: Option<u64>) -> Ask {
     Ask {
         partial: Some(PartialAnswer {
             remaining: remaining.map(Duration::from_secs),
             tokens: 400,
         }),
-        ..hurried(request, tier)
+        ..ask_with_objective(request, tier)
     }
 }
 
-/// Teaches the dispatcher how long a target's steps take.
-fn learn(harness: &mut Harness, target: &str, step_ms: u64) {
+/// Lets the dispatcher measure a target's step time on one request.
+fn teach_step_time(harness: &mut Harness, target: &str, step_ms: u64) {
     let request = format!("seen on {target}");
     let others = ["t0", "t1"].into_iter().filter(|other| *other != target);
     harness.ask(Ask {
@@ -41,59 +43,60 @@
         ..ask(&request, 0)
     });
     assert_eq!(harness.grants(), granted(&request, target));
-    harness.steps(&request, target, step_ms, 60);
+    harness.report_steps(&request, target, step_ms, 60);
     harness.end(&request, target);
 }
 
-// A broken stream would wait behind new requests of its tier until its caller, with all it has read, gives up.
+// Guards against a broken stream that waits behind new requests of its tier until its caller gives up,
+// although it has part of the answer.
 #[test]
-fn a_broken_answer_goes_before_new_ones() {
+fn resumed_answer_goes_before_new_asks() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
     assert_eq!(harness.grants(), granted("runs", "t0"));
-    harness.ask(hurried("new", 1));
-    harness.ask(resumes("broken", 1, None));
+    harness.ask(ask_with_objective("new", 1));
+    harness.ask(ask_to_resume("broken", 1, None));
     harness.end("runs", "t0");
     assert_eq!(harness.grants(), granted("broken", "t0"));
 }
 
-// A resumed answer of a later tier would delay urgent work.
+// Guards against a resumed answer of a later tier that delays urgent requests.
 #[test]
-fn an_earlier_tier_goes_before_a_broken_answer() {
+fn earlier_tier_goes_before_a_resumed_answer() {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
     assert_eq!(harness.grants(), granted("runs", "t0"));
-    harness.ask(resumes("broken", 1, None));
-    harness.ask(hurried("urgent", 0));
+    harness.ask(ask_to_resume("broken", 1, None));
+    harness.ask(ask_with_objective("urgent", 0));
     harness.end("runs", "t0");
     assert_eq!(harness.grants(), granted("urgent", "t0"));
 }
 
-// A long answer would move to a target that is no faster, and be read again in vain.
+// Guards against migrating a long answer to a target that is no faster, where the prefill is wasted.
 #[test]
-fn an_answer_waits_for_a_faster_target() {
+fn resumed_answer_waits_for_a_faster_target() {
     let mut harness = harness(&[8, 1]);
-    learn(&mut harness, "t0", 20);
-    learn(&mut harness, "t1", 5);
+    teach_step_time(&mut harness, "t0", 20);
+    teach_step_time(&mut harness, "t1", 5);
     harness.ask(Ask {
         exclusions: vec!["t0".into()],
         ..ask("fills", 0)
     });
     assert_eq!(harness.grants(), granted("fills", "t1"));
-    harness.ask(resumes("long", 0, Some(12)));
+    harness.ask(ask_to_resume("long", 0, Some(12)));
     harness.advance(3 * OBJECTIVE);
     assert_eq!(harness.verdicts(), []);
     harness.end("fills", "t1");
     assert_eq!(harness.grants(), granted("long", "t1"));
 }
 
-// A long answer would be refused a migration although a fast target may still come free.
+// Guards against refusing a migration while a faster target may still become free.
 #[test]
-fn an_answer_waits_for_as_long_as_it_has() {
+fn resumed_answer_waits_until_its_deadline() {
     let mut harness = harness(&[8, 8]);
-    learn(&mut harness, "t0", 20);
-    learn(&mut harness, "t1", 20);
-    harness.ask(resumes("long", 0, Some(12)));
+    teach_step_time(&mut harness, "t0", 20);
+    teach_step_time(&mut harness, "t1", 20);
+    harness.ask(ask_to_resume("long", 0, Some(12)));
     harness.advance(Duration::from_millis(9_900));
     assert_eq!(harness.verdicts(), []);
     harness.advance(Duration::from_millis(200));
@@ -101,7 +104,7 @@
     assert_eq!(harness.refusals(), refused("long", kind));
 }
 
-// A long answer on a slow target would be noticed only at its deadline.
+// Guards against detecting a long answer on a slow target only at its deadline.
 #[test]
 fn an_overrun_is_projected() {
     let start = Instant::now();
@@ -116,16 +119,16 @@
     assert_eq!(projected_overrun(9), None);
 }
 
-// An answer without a first token, or without a deadline, would be moved for nothing.
+// Guards against migrating an answer that has no first token yet, or no deadline.
 #[test]
-fn nothing_to_project() {
+fn no_overrun_without_first_token_or_deadline() {
     let now = Instant::now();
     let late = now + Duration::from_secs(60);
     assert_eq!(
         StreamProgress::new(0, Some(now)).projected_overrun(late),
         None
     );
-    let mut endless = StreamProgress::new(0, None);
-    endless.received(10, now);
-    assert_eq!(endless.projected_overrun(late), None);
+    let mut without_deadline = StreamProgress::new(0, None);
+    without_deadline.received(10, now);
+    assert_eq!(without_deadline.projected_overrun(late), None);
 }
--- a/crates/lilaccrank/tests/suite/dispatch_waits.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_waits.rs
@@ -1,64 +1,70 @@
-//! Slots that are left to earlier tiers, and how long asks wait for one.
+//! Slots that are reserved for earlier tiers, and how long requests wait for a slot.
 
 use std::time::Duration;
 
 use lilaccrank::dispatch::message::Ask;
 use lilaccrank::error_kind::ErrorKind;
 
-use crate::dispatch_cases::{ask, harness, hurried, refused};
+use crate::dispatch_fixtures::{ask, ask_with_objective, harness, refused};
 use crate::dispatch_harness::Harness;
 
-/// Slots of one target of seven that a tier fills once something of other tiers has come, and
-/// some time has passed since.
-macro_rules! slots_of {
-    ($name:ident, $tier:literal, $others:expr, $passed:expr, $slots:literal) => {
+/// Checks how many of a target's seven slots a tier fills, some time after requests of other tiers.
+macro_rules! slots_filled {
+    ($name:ident, $tier:literal, $others:expr, $elapsed:expr, $slots:literal) => {
         #[test]
         fn $name() {
             let mut harness = harness(&[7]);
             for other in $others {
                 let id = format!("other {other}");
-                harness.ask(hurried(&id, other));
+                harness.ask(ask_with_objective(&id, other));
                 harness.verdicts();
                 harness.end(&id, "t0");
             }
-            harness.advance($passed);
+            harness.advance($elapsed);
             for i in 0..10 {
-                harness.ask(hurried(&format!("{i}"), $tier));
+                harness.ask(ask_with_objective(&format!("{i}"), $tier));
             }
             assert_eq!(harness.grants().len(), $slots);
         }
     };
 }
 
-// A review waits for the end of a chat of tens of seconds: chats have filled every slot. Each tier
-// leaves a slot to each one before it.
-slots_of!(the_first_tier_fills_all, 0, [1, 2], Duration::ZERO, 7);
-slots_of!(the_second_leaves_one, 1, [0, 2], Duration::ZERO, 6);
-slots_of!(the_third_leaves_two, 2, [0, 1], Duration::ZERO, 5);
-slots_of!(the_second_of_two_leaves_one, 2, [0], Duration::ZERO, 6);
+// Guards against urgent requests that wait tens of seconds because long answers of a later tier fill
+// every slot. Each tier leaves one slot to each tier before it.
+slots_filled!(first_tier_fills_all_slots, 0, [1, 2], Duration::ZERO, 7);
+slots_filled!(second_tier_leaves_one_slot, 1, [0, 2], Duration::ZERO, 6);
+slots_filled!(third_tier_leaves_two_slots, 2, [0, 1], Duration::ZERO, 5);
+slots_filled!(
+    second_of_two_tiers_leaves_one_slot,
+    2,
+    [0],
+    Duration::ZERO,
+    6
+);
 
-// All callers of a pool are of the last tier, and are refused while slots stand empty. Slots are
-// kept for tiers of which something came in the last ten minutes.
-slots_of!(a_tier_alone_fills_all, 2, [], Duration::ZERO, 7);
-slots_of!(later_tiers_take_nothing, 1, [2], Duration::ZERO, 7);
-slots_of!(
-    a_quiet_minute_keeps_room,
+// Guards against refusals while reserved slots stay unused because all requests of a pool are of the
+// last tier. Slots are reserved for tiers that had requests in the last ten minutes.
+slots_filled!(only_tier_fills_all_slots, 2, [], Duration::ZERO, 7);
+slots_filled!(later_tiers_reserve_nothing, 1, [2], Duration::ZERO, 7);
+slots_filled!(
+    reservation_outlasts_a_quiet_minute,
     2,
     [0],
     Duration::from_secs(60),
     6
 );
-slots_of!(tiers_are_forgotten, 2, [0, 1], Duration::from_secs(700), 7);
+slots_filled!(reservation_expires, 2, [0, 1], Duration::from_secs(700), 7);
 
-/// Milliseconds for which an ask of a tier waits for a full target before it is refused.
-macro_rules! waits {
+/// Checks that an ask of a tier is refused at a full target after a wait between these limits, in
+/// milliseconds.
+macro_rules! max_wait {
     ($name:ident, $tier:literal, $from:literal, $until:literal) => {
         #[test]
         fn $name() {
             let mut harness = harness(&[1]);
             harness.ask(ask("runs", 0));
             harness.verdicts();
-            harness.ask(hurried("waits", $tier));
+            harness.ask(ask_with_objective("waits", $tier));
             harness.advance(Duration::from_millis($from));
             assert_eq!(harness.refusals(), []);
             harness.advance(Duration::from_millis($until - $from));
@@ -68,64 +74,65 @@
     };
 }
 
-// A caller that could come back in time hears too late that there is no place. Bulk is told as
-// soon as its first token would be late; urgent work goes on for a third of its time, since late
-// it is still worth more than bulk. Middle work that waited on would, in the order of arrival, make
-// all that comes behind it late as well.
-waits!(bulk_waits_for_its_objective, 2, 800, 950);
-waits!(middle_work_waits_for_its_objective, 1, 800, 950);
-waits!(urgent_work_waits_on, 0, 2_900, 3_100);
+// Guards against refusals that come too late for the caller to retry. The last tier is refused once its
+// first token would be late. The first tier waits for a third of its deadline, since it is worth more
+// than bulk even if late. If the middle tier did the same, it would make all requests behind it late.
+max_wait!(last_tier_waits_for_its_objective, 2, 800, 950);
+max_wait!(middle_tier_waits_for_its_objective, 1, 800, 950);
+max_wait!(first_tier_waits_past_its_objective, 0, 2_900, 3_100);
 
-/// A full target of one slot, at which some chats have waited for nothing.
-fn vain_waits() -> Harness {
+/// Returns a harness whose only slot is taken and where four asks of the last tier have just waited and
+/// been refused.
+fn harness_after_refused_waits() -> Harness {
     let mut harness = harness(&[1]);
     harness.ask(ask("runs", 0));
     harness.verdicts();
     for i in 0..4 {
-        harness.ask(hurried(&format!("{i}"), 2));
+        harness.ask(ask_with_objective(&format!("{i}"), 2));
     }
     harness.advance(Duration::from_millis(950));
     assert_eq!(harness.refusals().len(), 4);
     harness
 }
 
-// An hourly burst of chats over what the targets can do: each waits for nine tenths of a second and
-// is refused, and comes back with little time left. Once most waits end so, the next ones are told
-// at once. One waits on, and shows when there is room again.
+// Guards against waits that end in a refusal during a burst above the capacity: each request waits for
+// 0.9 s, is refused and retries with little time left. Once most waits end so, later requests are
+// refused at once. One still waits, to detect free slots.
 #[test]
-fn vain_waits_are_spared() {
-    let mut harness = vain_waits();
-    harness.ask(hurried("looks", 2));
-    harness.ask(hurried("spared", 2));
+fn asks_are_refused_at_once_after_refused_waits() {
+    let mut harness = harness_after_refused_waits();
+    harness.ask(ask_with_objective("looks", 2));
+    harness.ask(ask_with_objective("spared", 2));
     let kind = ErrorKind::DeadlineUnmeetable;
     assert_eq!(harness.refusals(), refused("spared", kind));
     harness.end("runs", "t0");
     assert_eq!(harness.grants()[0].0, "looks");
-    harness.ask(hurried("next", 2));
+    harness.ask(ask_with_objective("next", 2));
     assert_eq!(harness.refusals(), []);
 }
 
-// What comes free goes to the first tier first: its asks wait, whatever became of others.
+// Guards against refusing the first tier at once: free slots go to it first, so its requests wait
+// whatever happened to others.
 #[test]
 fn the_first_tier_always_waits() {
-    let mut harness = vain_waits();
+    let mut harness = harness_after_refused_waits();
     for i in 0..4 {
-        harness.ask(hurried(&format!("urgent {i}"), 0));
+        harness.ask(ask_with_objective(&format!("urgent {i}"), 0));
     }
     assert_eq!(harness.refusals(), []);
 }
 
-// A tier alone in a pool, after a quiet time: nothing is remembered of a burst that has passed.
+// Guards against refusing requests at once because of a burst that is over.
 #[test]
-fn vain_waits_are_forgotten() {
-    let mut harness = vain_waits();
+fn refused_waits_expire() {
+    let mut harness = harness_after_refused_waits();
     harness.advance(Duration::from_secs(3));
-    harness.ask(hurried("one", 2));
-    harness.ask(hurried("two", 2));
+    harness.ask(ask_with_objective("one", 2));
+    harness.ask(ask_with_objective("two", 2));
     assert_eq!(harness.refusals(), []);
 }
 
-// A customer of a higher rank goes first, whatever the tiers; within a rank tiers decide.
+// Guards against a tier that outweighs a customer's rank: ranks decide first, tiers within a rank.
 #[test]
 fn ranks_go_before_tiers() {
     let mut harness = harness(&[1]);
--- a/crates/lilaccrank/tests/suite/lease.rs
+++ b/crates/lilaccrank/tests/suite/lease.rs
@@ -1,4 +1,4 @@
-//! Leases under pauses, lost answers and a store that is away: never two holders at once.
+//! Leases under pauses, lost replies and store outages: there are never two holders at once.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use futures::task::LocalSpawnExt;
 use lilaccrank::clock::Clock;
 use lilaccrank::lease::{
-    Attempt, Candidate, Guards, Held, Keeper, Lease, Renewal, Settings, Tenure,
+    Attempt, Candidate, GuardSource, Held, Keeper, Lease, LeaseHandle, Renewal, Settings,
 };
 use lilaccrank::paused_clock::PausedClock;
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -18,7 +18,7 @@
 
 const KEY: &str = "leases/orders";
 
-type Holding = Lease<Held, FakeStore, PausedClock>;
+type HeldLease = Lease<Held, FakeStore, PausedClock>;
 
 fn candidate(
     holder: &str,
@@ -34,63 +34,63 @@
     )
 }
 
-fn acquire(holder: &str, store: &FakeStore, clock: &PausedClock) -> Holding {
+fn acquire(holder: &str, store: &FakeStore, clock: &PausedClock) -> HeldLease {
     match executor::block_on(candidate(holder, store, clock).attempt()) {
         Attempt::Held(held) => held,
-        Attempt::Wait(..) => panic!("{holder} has to wait"),
+        Attempt::Wait(..) => panic!("{holder} did not acquire the lease"),
     }
 }
 
-fn renew(held: Holding) -> Holding {
+fn renew(held: HeldLease) -> HeldLease {
     match executor::block_on(held.renew()) {
         Renewal::Held(held) => held,
         Renewal::Lost(lost) => panic!("lost: {}", lost.reason()),
     }
 }
 
-// The write that took the lease had effect, but its answer was lost. Without reading back, the
-// holder would take itself for beaten, and nobody would give orders for a whole duration.
+// The write that acquires the lease takes effect, but the reply is lost. Without reading back, the
+// holder would not know that it holds the lease, and nobody could send orders until it expires.
 #[test]
-fn lost_answer_to_taking_is_resolved_by_reading_back() {
+fn lost_answer_to_acquiring_is_resolved_by_reading_back() {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     store.faults.lose_answer.set(true);
-    let Attempt::Wait(again, _) = executor::block_on(candidate("a", &store, &clock).attempt())
+    let Attempt::Wait(retry, _) = executor::block_on(candidate("a", &store, &clock).attempt())
     else {
-        panic!("no answer came");
+        panic!("held without a reply from the store");
     };
     clock.advance(Duration::from_secs(1));
-    let Attempt::Held(held) = executor::block_on(again.attempt()) else {
-        panic!("the lease is its own");
+    let Attempt::Held(held) = executor::block_on(retry.attempt()) else {
+        panic!("did not recognise its own write");
     };
     let guard = held.guard().expect("held");
-    assert_eq!(guard.fence, 1, "taken twice");
-    let left = held.until() - clock.now();
+    assert_eq!(guard.fence, 1, "the lease was acquired twice");
+    let remaining = held.expires_at() - clock.now();
     assert_eq!(
-        left,
+        remaining,
         Duration::from_secs(10 - 1 - 1),
-        "its time counts from the first write"
+        "the lease must expire relative to the first write"
     );
 }
 
-// The answer to a renewal is lost and the version has moved on. The next renewal at the old
-// version conflicts, which looks as if another had taken the lease.
+// The reply to a renewal is lost after the version has changed. Without reading back, the next
+// renewal at the old version would conflict, as if another process had acquired the lease.
 #[test]
 fn lost_answer_to_renewing_is_resolved_by_reading_back() {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     let held = acquire("a", &store, &clock);
-    let first_end = held.until();
+    let first_end = held.expires_at();
     clock.advance(Duration::from_secs(3));
     store.faults.lose_answer.set(true);
     let held = renew(renew(held));
-    assert_eq!(held.until(), first_end + Duration::from_secs(3));
+    assert_eq!(held.expires_at(), first_end + Duration::from_secs(3));
     assert_eq!(held.guard().expect("held").fence, 1);
 }
 
-// The holder is paused while it waits for the answer of its renewal, for longer than the lease
-// lasts, and then finds the answer "renewed". Another has the lease by then; the first must not
-// count its time from when it woke.
+// The holder is paused for longer than the lease duration while it waits for the reply to its
+// renewal, and then reads a successful reply. Another process may hold the lease by then, so the
+// expiry must not be computed from the time at which the holder resumed.
 #[test]
 fn holder_paused_in_a_renewal_finds_it_lost() {
     let clock = PausedClock::new();
@@ -105,34 +105,34 @@
     pool.run_until_stalled();
     clock.advance(Duration::from_secs(20));
     let Renewal::Lost(lost) = pool.run_until(renewal) else {
-        panic!("believes in a lease that ended 11 s ago");
+        panic!("still held 11 s after the expiry");
     };
     assert_eq!(lost.reason().to_string(), "not renewed in time");
 }
 
-// A target has obeyed number 1000 when the store is wiped. The daemon that takes the lease then has
-// just started and has seen no number at all; with number 1 the target would refuse each order of
-// it, and of its successors, for good.
+// A target has accepted fencing number 1000 when the store is wiped. The daemon that acquires the
+// lease next has just started and has seen no number. If it used 1, the target would refuse all its
+// orders, and those of its successors, permanently.
 #[test]
-fn number_after_a_wiped_store_is_above_the_earlier_ones() {
+fn fence_after_a_wiped_store_exceeds_earlier_ones() {
     let clock = PausedClock::new();
     clock.advance(Duration::from_secs(1_000));
     let before = acquire("a", &FakeStore::new(clock.clone()), &clock);
     clock.advance(Duration::from_secs(3));
     let after = acquire("b", &FakeStore::new(clock.clone()), &clock);
-    let fence = |held: &Holding| held.guard().expect("held").fence;
+    let fence = |held: &HeldLease| held.guard().expect("held").fence;
     assert!(fence(&after) > fence(&before));
 }
 
-// The duty moves to another daemon, and the first gives the lease up. From then on it must not
-// act, and the other takes the lease at once, not only when its time is over.
+// The duty moves to another daemon, and the first one releases the lease. From then on it must not
+// act, and the other one must be able to acquire the lease at once, without waiting for its expiry.
 #[test]
-fn keeper_that_is_stopped_lets_go() {
+fn stopped_keeper_releases_the_lease() {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     let mut pool = LocalPool::new();
     let keeper = Keeper::new(candidate("a", &store, &clock));
-    let tenure = keeper.tenure();
+    let handle = keeper.handle();
     let (stop, stopped) = oneshot::channel::<()>();
     let running = keeper.run_until(stopped.map(|_| ()));
     let running = pool
@@ -140,10 +140,13 @@
         .spawn_local_with_handle(running)
         .expect("the pool runs");
     pool.run_until_stalled();
-    assert_eq!(tenure.guard().expect("held").fence, 1);
+    assert_eq!(handle.guard().expect("held").fence, 1);
     stop.send(()).expect("the keeper runs");
     let keeper = pool.run_until(running);
-    assert!(tenure.guard().is_err(), "acts without the duty");
+    assert!(
+        handle.guard().is_err(),
+        "the handle still permits orders after the release"
+    );
     let other = acquire("b", &store, &clock);
     assert_eq!(other.guard().expect("held").fence, 2);
     drop(keeper);
@@ -152,7 +155,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Advance(u16),
-    Away(bool),
+    StoreUnavailable(bool),
     DelayWrite(u16),
     LoseAnswer,
     Pause(u8),
@@ -164,8 +167,8 @@
     fn arbitrary(g: &mut Gen) -> Self {
         let ms = u16::arbitrary(g) % 12_000;
         match u8::arbitrary(g) % 16 {
-            0 => Self::Away(true),
-            1 | 2 => Self::Away(false),
+            0 => Self::StoreUnavailable(true),
+            1 | 2 => Self::StoreUnavailable(false),
             3 => Self::DelayWrite(ms),
             4 => Self::LoseAnswer,
             5 => Self::Pause(u8::arbitrary(g) % 3),
@@ -176,27 +179,27 @@
     }
 }
 
-/// Three keepers of one lease.
-struct Rivals {
+/// Three processes that compete for one lease, each with its own keeper.
+struct Keepers {
     clock: PausedClock,
     last: Option<(usize, u64)>,
     pool: LocalPool,
     processes: Vec<Process>,
     store: FakeStore,
-    tenures: Vec<Tenure<PausedClock>>,
+    handles: Vec<LeaseHandle<PausedClock>>,
 }
 
-impl Rivals {
+impl Keepers {
     fn new() -> Self {
         let clock = PausedClock::new();
         let store = FakeStore::new(clock.clone());
         let pool = LocalPool::new();
         let mut processes = Vec::new();
-        let mut tenures = Vec::new();
+        let mut handles = Vec::new();
         for holder in ["a", "b", "c"] {
             let keeper = Keeper::new(candidate(holder, &store, &clock));
             let process = Process::new();
-            tenures.push(keeper.tenure());
+            handles.push(keeper.handle());
             pool.spawner()
                 .spawn_local(process.clone().run(keeper.run()))
                 .expect("the pool runs");
@@ -208,7 +211,7 @@
             pool,
             processes,
             store,
-            tenures,
+            handles,
         }
     }
 
@@ -216,27 +219,28 @@
         let faults = &self.store.faults;
         match event {
             Event::Advance(ms) => return self.advance(ms),
-            Event::Away(away) => faults.away.set(away),
+            Event::StoreUnavailable(away) => faults.away.set(away),
             Event::DelayWrite(ms) => faults.delay_write.set(Some(millis(ms))),
             Event::LoseAnswer => faults.lose_answer.set(true),
             Event::Pause(index) => self.processes[usize::from(index)].set(Power::Frozen),
             Event::Resume(index) => self.processes[usize::from(index)].set(Power::Running),
             Event::SlowAnswer(ms) => faults.slow_answer.set(Some(millis(ms))),
         }
-        self.holds()
+        self.is_consistent()
     }
 
     fn advance(&mut self, ms: u16) -> bool {
         (0..=ms / 250).all(|_| {
             self.clock.advance(millis(250));
-            self.holds()
+            self.is_consistent()
         })
     }
 
-    /// At most one rival may act, and the number grows with each change of holder.
-    fn holds(&mut self) -> bool {
+    /// Returns `true` if at most one process may act and the fencing number has grown with each
+    /// change of holder.
+    fn is_consistent(&mut self) -> bool {
         self.pool.run_until_stalled();
-        let fences = self.tenures.iter().map(|tenure| tenure.guard().ok());
+        let fences = self.handles.iter().map(|handle| handle.guard().ok());
         let acting: Vec<_> = fences
             .enumerate()
             .filter_map(|(index, guard)| Some((index, guard?.fence)))
@@ -257,22 +261,23 @@
 }
 
 quickcheck! {
-    // Whatever is paused, lost, late or away: two holders at once would give a target opposite
-    // orders, and each would take the other's for its own.
+    // Two holders at once would send a target contradictory orders. No sequence of pauses, lost
+    // replies, delays and outages may lead to that.
     fn never_two_holders(events: Vec<Event>) -> bool {
-        let mut rivals = Rivals::new();
-        events.into_iter().all(|event| rivals.apply(event))
+        let mut keepers = Keepers::new();
+        events.into_iter().all(|event| keepers.apply(event))
     }
 
-    // After all faults the lease is held again, or targets would stay as they are for ever.
-    fn held_again_after_the_faults(events: Vec<Event>) -> bool {
-        let mut rivals = Rivals::new();
+    // After all faults have ended the lease must be held again, or targets would get no more
+    // orders.
+    fn lease_is_held_again_after_faults(events: Vec<Event>) -> bool {
+        let mut keepers = Keepers::new();
         for event in events {
-            rivals.apply(event);
+            keepers.apply(event);
         }
-        rivals.apply(Event::Away(false));
-        (0..3).for_each(|index| { rivals.apply(Event::Resume(index)); });
-        (0..6).for_each(|_| { rivals.advance(10_000); });
-        rivals.tenures.iter().any(|tenure| tenure.guard().is_ok())
+        keepers.apply(Event::StoreUnavailable(false));
+        (0..3).for_each(|index| { keepers.apply(Event::Resume(index)); });
+        (0..6).for_each(|_| { keepers.advance(10_000); });
+        keepers.handles.iter().any(|handle| handle.guard().is_ok())
     }
 }
--- a/crates/lilaccrank/tests/suite/pool_model/load.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/load.rs
@@ -1,12 +1,12 @@
-//! Load patterns, from the users' sheet for their depots.
+//! Load patterns, based on the users' figures.
 
 use super::Request;
-use super::engine::Model;
+use super::engine::EngineSpec;
 
-/// How many times longer than the mean the longest answers are.
-const LONGEST: f64 = 10.0;
+/// Ratio of the longest answer of a kind to the mean.
+const MAX_OUTPUT_RATIO: f64 = 10.0;
 
-/// What is asked, for each user in the order of its urgency.
+/// Kind of request; the kinds of each workload are in order of urgency.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
     /// Review of a contract.
@@ -23,12 +23,12 @@
     Tag,
 }
 
-/// The users' figures for a kind of request.
-struct Sheet {
+/// Rate, lengths and time limits of a kind of request, as supplied by the users.
+struct Profile {
     deadline_ms: u64,
     /// Longest prompt, in tokens.
     longest: f64,
-    /// Time in which the caller expects the first token.
+    /// Time within which the caller expects the first token.
     objective_ms: u64,
     /// Mean length of the answer, in tokens.
     output: f64,
@@ -40,28 +40,28 @@
 }
 
 impl Kind {
-    /// Kinds of the depots and of the consortium.
-    pub const DEPOTS: [Self; 3] = [Self::Review, Self::Report, Self::Chat];
-    /// Kinds of the caterers.
-    pub const CATERERS: [Self; 3] = [Self::Proposal, Self::Question, Self::Tag];
+    /// Workload whose urgent tiers have short answers and whose last tier has long ones.
+    pub const URGENT_SHORT: [Self; 3] = [Self::Review, Self::Report, Self::Chat];
+    /// Workload whose urgent tiers have long answers and whose last tier has short ones.
+    pub const URGENT_LONG: [Self; 3] = [Self::Proposal, Self::Question, Self::Tag];
 
-    /// Milliseconds in which its caller expects the first token.
+    /// Returns the first-token objective, in milliseconds.
     pub fn objective_ms(self) -> u64 {
-        self.sheet().objective_ms
+        self.profile().objective_ms
     }
 
-    /// Milliseconds after which its caller leaves.
+    /// Returns the deadline of the whole answer, in milliseconds.
     pub fn deadline_ms(self) -> u64 {
-        self.sheet().deadline_ms
+        self.profile().deadline_ms
     }
 
-    /// Its tier.
+    /// Returns the tier, 0 for the most urgent.
     pub fn tier(self) -> u8 {
-        self.sheet().tier
+        self.profile().tier
     }
 
-    fn sheet(self) -> Sheet {
-        let sheet = |tier, per_s, objective_ms, deadline_ms, prompt, longest, output| Sheet {
+    fn profile(self) -> Profile {
+        let profile = |tier, per_s, objective_ms, deadline_ms, prompt, longest, output| Profile {
             deadline_ms,
             longest,
             objective_ms,
@@ -71,68 +71,68 @@
             tier,
         };
         match self {
-            Self::Review => sheet(0, 16.5, 800, 6_000, 2_890.0, 18_300.0, 51.0),
-            Self::Report => sheet(1, 21.9, 1_200, 4_000, 1_800.0, 6_870.0, 24.0),
-            Self::Chat => sheet(2, 24.5, 1_500, 15_000, 543.0, 2_310.0, 267.0),
-            Self::Proposal => sheet(0, 24.5, 800, 15_000, 6_610.0, 41_000.0, 380.0),
-            Self::Question => sheet(1, 35.4, 400, 15_000, 628.0, 2_700.0, 290.0),
-            Self::Tag => sheet(2, 39.4, 500, 3_000, 1_800.0, 6_870.0, 25.0),
+            Self::Review => profile(0, 16.5, 800, 6_000, 2_890.0, 18_300.0, 51.0),
+            Self::Report => profile(1, 21.9, 1_200, 4_000, 1_800.0, 6_870.0, 24.0),
+            Self::Chat => profile(2, 24.5, 1_500, 15_000, 543.0, 2_310.0, 267.0),
+            Self::Proposal => profile(0, 24.5, 800, 15_000, 6_610.0, 41_000.0, 380.0),
+            Self::Question => profile(1, 35.4, 400, 15_000, 628.0, 2_700.0, 290.0),
+            Self::Tag => profile(2, 39.4, 500, 3_000, 1_800.0, 6_870.0, 25.0),
         }
     }
 }
 
-/// A load before a pool.
+/// A load pattern and the pool that serves it.
 #[derive(Clone, Debug)]
 pub struct Load {
-    /// Daemons that take requests in turn by chance.
+    /// Number of daemons; each request arrives at a random one.
     pub daemons: usize,
-    /// Engines that are down, from and until when in milliseconds.
+    /// Outages: engine, start and end in milliseconds.
     pub down: Vec<(usize, u64, u64)>,
-    /// What one engine of the pool can do.
-    pub engine: Model,
-    /// Engines of the pool.
+    /// Capacity of each engine at speed 1.
+    pub engine: EngineSpec,
+    /// Number of engines.
     pub engines: usize,
-    /// What is asked.
+    /// Kinds of requests, one for each tier.
     pub kinds: [Kind; 3],
-    /// Seed of everything that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Speeds of the engines, in turn.
+    /// Relative speeds of the engines, in turn.
     pub speeds: [f64; 3],
-    /// Whether callers name the length of their answer as the most that they take; else they name the
-    /// longest of its kind, and nobody knows how long it becomes.
-    pub tells_lengths: bool,
-    /// How many times the usual rate comes, from which second on.
-    pub times: Vec<(u64, [f64; 3])>,
-    /// Seconds in which requests come.
+    /// Whether a request's token limit is the length of its answer. Otherwise it is the longest length of
+    /// its kind, and the length is unknown in advance.
+    pub has_exact_token_limits: bool,
+    /// Factors of the usual rate by tier, each from the given second on.
+    pub rate_factors: Vec<(u64, [f64; 3])>,
+    /// Duration in which requests arrive, in seconds.
     pub seconds: u64,
 }
 
 impl Load {
-    /// The users' usual day: seven daemons, twelve engines.
+    /// Usual rate on seven daemons and twelve engines.
     pub fn usual(seed: u64) -> Self {
         Self {
             daemons: 7,
             down: Vec::new(),
-            engine: Model::DEPOTS,
+            engine: EngineSpec::STANDARD,
             engines: 12,
-            kinds: Kind::DEPOTS,
+            kinds: Kind::URGENT_SHORT,
             seed,
             speeds: [0.6, 1.7, 1.7],
-            tells_lengths: true,
-            times: vec![(0, [1.0; 3])],
+            has_exact_token_limits: true,
+            rate_factors: vec![(0, [1.0; 3])],
             seconds: 8,
         }
     }
 
-    /// Devices wake on the hour: 2.1 times the usual rate for three seconds.
+    /// Burst on the hour: 2.1 times the usual rate for three seconds.
     pub fn hourly_burst(seed: u64) -> Self {
         Self {
-            times: vec![(0, [1.0; 3]), (2, [2.1; 3]), (5, [1.0; 3])],
+            rate_factors: vec![(0, [1.0; 3]), (2, [2.1; 3]), (5, [1.0; 3])],
             ..Self::usual(seed)
         }
     }
 
-    /// The hourly burst while a third of the engines is down.
+    /// The hourly burst while a third of the engines is down for four seconds.
     pub fn burst_with_engines_down(seed: u64) -> Self {
         Self {
             down: (0..4).map(|engine| (engine * 3, 2_000, 6_000)).collect(),
@@ -140,70 +140,71 @@
         }
     }
 
-    /// Four times the usual chats, whose answers hold a slot for seconds.
+    /// Four times the usual chats for four seconds; each answer holds a slot for seconds.
     pub fn flood_of_chats(seed: u64) -> Self {
         Self {
-            times: vec![(0, [1.0; 3]), (2, [1.0, 1.0, 4.0]), (6, [1.0; 3])],
+            rate_factors: vec![(0, [1.0; 3]), (2, [1.0, 1.0, 4.0]), (6, [1.0; 3])],
             ..Self::usual(seed)
         }
     }
 
-    /// The consortium at its busiest: nine engines of which two in three are slow by 1.7 / 0.6, 1.4 times
-    /// the usual rate, and twice that for the first three seconds. Callers name the same most for all
-    /// answers of a kind.
+    /// Peak load on nine engines of which two in three are slower by a factor of 1.7 / 0.6, with 1.6 times
+    /// the usual rate for the first three seconds. Token limits are the same for all requests of a kind.
     pub fn busy_on_slow_engines(seed: u64) -> Self {
         Self {
             daemons: 9,
             engines: 9,
             seconds: 16,
             speeds: [1.0 / 0.6, 1.0 / 1.7, 1.0 / 1.7],
-            tells_lengths: false,
-            times: vec![(0, [1.6; 3]), (3, [1.0; 3])],
+            has_exact_token_limits: false,
+            rate_factors: vec![(0, [1.6; 3]), (3, [1.0; 3])],
             ..Self::usual(seed)
         }
     }
 
-    /// The caterers at their busiest: half as much again as usual, before twelve engines of which one in three is 4.4
-    /// times slower. Tags, in the last tier, hold a slot for a tenth of the time of the others.
-    pub fn busy_caterers(seed: u64) -> Self {
+    /// Peak load of [`Kind::URGENT_LONG`], 1.5 times the usual rate, on twelve engines of which one in
+    /// three is 4.4 times slower. Tags, in the last tier, hold a slot for a tenth of the time of the
+    /// others.
+    pub fn busy_with_short_last_tier(seed: u64) -> Self {
         Self {
-            engine: Model::CATERERS,
-            kinds: Kind::CATERERS,
+            engine: EngineSpec::FAST,
+            kinds: Kind::URGENT_LONG,
             seconds: 12,
             speeds: [1.0, 1.0, 1.0 / 4.4],
-            tells_lengths: false,
-            times: vec![(0, [1.5; 3])],
+            has_exact_token_limits: false,
+            rate_factors: vec![(0, [1.5; 3])],
             ..Self::usual(seed)
         }
     }
 
-    /// The most tokens that the caller of a request takes.
-    pub fn most_tokens(&self, request: &Request) -> u32 {
-        if self.tells_lengths {
+    /// Returns the token limit that the caller sets on a request.
+    pub fn token_limit(&self, request: &Request) -> u32 {
+        if self.has_exact_token_limits {
             return request.output;
         }
-        (request.kind.sheet().output * LONGEST) as u32
+        (request.kind.profile().output * MAX_OUTPUT_RATIO) as u32
     }
 
-    /// When all callers have their answers or have left.
+    /// Returns the time in milliseconds at which the last deadline has passed.
     pub fn end_ms(&self) -> u64 {
         let longest = self.kinds.map(Kind::deadline_ms).into_iter().max();
         self.seconds * 1_000 + longest.unwrap_or(0)
     }
 
+    /// Returns `true` if an engine is down at the given millisecond.
     pub fn is_down(&self, engine: usize, now: u64) -> bool {
         let mut down = self.down.iter();
         down.any(|(number, from, until)| *number == engine && (*from..*until).contains(&now))
     }
 
-    /// All requests, in the order of their coming.
+    /// Draws all requests, in order of arrival.
     pub fn requests(&self) -> Vec<Request> {
         let mut random = Random(self.seed.wrapping_add(1));
         let mut requests = Vec::new();
         for ms in 0..self.seconds * 1_000 {
             for kind in self.kinds {
-                let times = self.times_at(ms / 1_000)[usize::from(kind.tier())];
-                let rate = kind.sheet().per_s * times;
+                let rate_factors = self.rate_factors_at(ms / 1_000)[usize::from(kind.tier())];
+                let rate = kind.profile().per_s * rate_factors;
                 if random.uniform() < rate / 1_000.0 {
                     requests.push(self.request(kind, ms, requests.len(), &mut random));
                 }
@@ -213,38 +214,43 @@
     }
 
     fn request(&self, kind: Kind, arrived: u64, id: usize, random: &mut Random) -> Request {
-        let Sheet {
+        let Profile {
             longest,
             output,
             prompt,
             ..
-        } = kind.sheet();
+        } = kind.profile();
         Request {
             arrived,
             daemon: (random.uniform() * self.daemons as f64) as usize,
             id,
             kind,
-            output: random.spread(output, 1.5, output * LONGEST).max(3.0) as u32,
-            prompt: random.spread(prompt, 1.0, longest).max(20.0) as u32,
-            returned: false,
+            output: random
+                .log_normal(output, 1.5, output * MAX_OUTPUT_RATIO)
+                .max(3.0) as u32,
+            prompt: random.log_normal(prompt, 1.0, longest).max(20.0) as u32,
+            has_retried: false,
         }
     }
 
-    fn times_at(&self, second: u64) -> [f64; 3] {
-        let mut past = self.times.iter().filter(|(from, _)| *from <= second);
-        past.next_back().map_or([1.0; 3], |(_, times)| *times)
+    /// Returns the rate factors of the tiers in the given second.
+    fn rate_factors_at(&self, second: u64) -> [f64; 3] {
+        let mut past = self.rate_factors.iter().filter(|(from, _)| *from <= second);
+        past.next_back()
+            .map_or([1.0; 3], |(_, rate_factors)| *rate_factors)
     }
 }
 
-/// The same draws in every run.
+/// Linear congruential generator, for the same draws in every run.
 pub struct Random(u64);
 
 impl Random {
+    /// Creates a generator with the given seed.
     pub fn new(seed: u64) -> Self {
         Self(seed)
     }
 
-    /// At least 0, below 1.
+    /// Draws a number from the interval [0, 1).
     pub fn uniform(&mut self) -> f64 {
         self.0 = self
             .0
@@ -253,11 +259,11 @@
         (self.0 >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// Log-normal with this mean and sigma.
-    fn spread(&mut self, mean: f64, sigma: f64, most: f64) -> f64 {
+    /// Draws from a log-normal distribution with this mean and sigma, capped at `limit`.
+    fn log_normal(&mut self, mean: f64, sigma: f64, limit: f64) -> f64 {
         let (a, b) = (self.uniform().max(1e-12), self.uniform());
         let normal = (-2.0 * a.ln()).sqrt() * (std::f64::consts::TAU * b).cos();
         let median = mean / (sigma * sigma / 2.0).exp();
-        (median * (sigma * normal).exp()).min(most)
+        (median * (sigma * normal).exp()).min(limit)
     }
 }
--- a/crates/lilaccrank/tests/suite/pool_model/naive.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/naive.rs
@@ -1,25 +1,25 @@
-//! Ways to place requests that know nothing of tiers, and send everything at once.
+//! Baseline policies that ignore tiers and send every request at once.
 
 use super::load::Random;
 use super::{Decision, Engine, Policy, Progress, Request};
 
-/// Milliseconds by which an engine's report of its load lags.
-const LAG: u64 = 1_500;
+/// Delay of the engines' load reports, in milliseconds.
+const REPORT_LAG_MS: u64 = 1_500;
 
-/// How an engine is picked.
+/// Selection of an engine.
 #[derive(Clone, Copy, Debug)]
 pub enum Pick {
-    /// The least loaded by its last report.
+    /// The least loaded engine by the last report.
     LeastReported,
-    /// One after the other.
+    /// The engines in turn.
     RoundRobin,
-    /// The less loaded of two, by its last report.
+    /// The less loaded of two random engines by the last report.
     TwoChoices,
 }
 
-/// A naive way to place requests.
+/// Policy that sends each request at once to the engine picked.
 pub struct Naive {
-    coming: Vec<usize>,
+    arrivals: Vec<usize>,
     next: usize,
     pick: Pick,
     random: Random,
@@ -28,9 +28,10 @@
 }
 
 impl Naive {
+    /// Creates a policy without any load report.
     pub fn new(pick: Pick) -> Self {
         Self {
-            coming: Vec::new(),
+            arrivals: Vec::new(),
             next: 0,
             pick,
             random: Random::new(7),
@@ -56,7 +57,7 @@
 
 impl Policy for Naive {
     fn arrive(&mut self, request: &Request, _: u64) {
-        self.coming.push(request.id);
+        self.arrivals.push(request.id);
     }
 
     fn decide(&mut self, engines: &[Engine], now: u64) -> Vec<Decision> {
@@ -64,12 +65,15 @@
             let loads = engines.iter().map(Engine::load).collect();
             self.reports.push((now, loads));
         }
-        let seen = self.reports.iter().rfind(|(at, _)| at + LAG <= now);
-        if let Some((_, loads)) = seen {
+        let latest = self
+            .reports
+            .iter()
+            .rfind(|(at, _)| at + REPORT_LAG_MS <= now);
+        if let Some((_, loads)) = latest {
             self.reported.clone_from(loads);
         }
-        let coming = std::mem::take(&mut self.coming);
-        let sent = coming.into_iter();
+        let arrivals = std::mem::take(&mut self.arrivals);
+        let sent = arrivals.into_iter();
         sent.map(|id| Decision::Send(id, self.pick(engines.len())))
             .collect()
     }
--- a/crates/lilaccrankd/src/ports.rs
+++ b/crates/lilaccrankd/src/ports.rs
@@ -4,13 +4,13 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use crate::callers::own_protocol::OwnProtocol;
+use crate::callers::native_protocol::NativeProtocol;
 use crate::callers::protocol::CallerProtocol;
 use crate::configuration::own_source::OwnSource;
 use crate::configuration::source::Source;
 use crate::objects::{Objects, OwnObjects};
 use crate::settings::{self, Settings};
-use crate::targets::own_protocol::OwnTargets;
+use crate::targets::native_protocol::NativeTargetProtocol;
 use crate::targets::protocol::TargetProtocol;
 
 /// The adapters of one daemon.
@@ -34,12 +34,12 @@
     /// The product's own.
     fn default() -> Self {
         Self {
-            callers: Rc::new(OwnProtocol),
+            callers: Rc::new(NativeProtocol),
             objects: Rc::new(OwnObjects),
             settings: Settings::read,
             settings_file: None,
             source: Rc::new(OwnSource),
-            targets: Rc::new(OwnTargets),
+            targets: Rc::new(NativeTargetProtocol),
         }
     }
 }
--- a/crates/lilaccrankd/src/targets/relay.rs
+++ b/crates/lilaccrankd/src/targets/relay.rs
@@ -8,7 +8,7 @@
 
 use crate::callers::end_to_end;
 use crate::callers::refusal::{Refusal, Result};
-use crate::request::run::{Head, Run};
+use crate::request::answer_buffer::{AnswerBuffer, Head};
 use crate::targets::forward::Bounds;
 
 /// Copies an answer whose head has come.
@@ -21,10 +21,10 @@
     res: Response<Incoming>,
     connection: Connection,
     bounds: Bounds,
-    run: &Run,
+    buffer: &AnswerBuffer,
 ) -> Result<()> {
     let (parts, mut body) = res.into_parts();
-    run.set_head(Head {
+    buffer.set_head(Head {
         headers: end_to_end::headers(&parts.headers),
         status: parts.status,
     });
@@ -37,9 +37,9 @@
         };
         let frame = frame.map_err(|_| broken("the target broke off its answer"))?;
         if let Ok(data) = frame.into_data() {
-            run.push(data);
+            buffer.push(data);
         }
-        if run.size() > bounds.answer_limit {
+        if buffer.size() > bounds.answer_limit {
             return Err(broken("the answer is over the limit"));
         }
     }
