--- a/crates/lilaccrankd/src/admin.rs
+++ b/crates/lilaccrankd/src/admin.rs
@@ -21,7 +21,7 @@
 
 mod configuration;
 mod error;
-mod exchange;
+mod json;
 pub mod metrics;
 mod orders;
 mod publication;
@@ -68,29 +68,29 @@
     let (head, incoming) = req.into_parts();
     let operator = authenticate(daemon, &head.headers)?;
     match (&head.method, head.uri.path()) {
-        (&Method::GET, path::CONFIGURATION) => exchange::reply(&configuration::in_force(daemon)?),
+        (&Method::GET, path::CONFIGURATION) => json::reply(&configuration::in_force(daemon)?),
         (&Method::POST, path::CONFIGURATION) => {
-            let asked = exchange::read(daemon, incoming).await?;
-            let published = publication::publish(daemon, operator.id, asked).await?;
-            exchange::reply(&published)
+            let payload = json::read(daemon, incoming).await?;
+            let published = publication::publish(daemon, operator.id, payload).await?;
+            json::reply(&published)
         }
         (&Method::POST, path::EXPLAIN) => {
-            let asked = exchange::read(daemon, incoming).await?;
-            exchange::reply(&configuration::explain(daemon, asked)?)
+            let payload = json::read(daemon, incoming).await?;
+            json::reply(&configuration::explain(daemon, payload)?)
         }
-        (&Method::GET, path::HISTORY) => exchange::reply(&configuration::history(daemon).await?),
-        (&Method::POST, path::LEAVE) => exchange::reply(&leave(daemon, signals)),
-        (&Method::GET, path::STATUS) => exchange::reply(&status(daemon)?),
+        (&Method::GET, path::HISTORY) => json::reply(&configuration::history(daemon).await?),
+        (&Method::POST, path::LEAVE) => json::reply(&leave(daemon, signals)),
+        (&Method::GET, path::STATUS) => json::reply(&status(daemon)?),
         (&Method::POST, path::TIMELINE) => {
-            let query = exchange::read(daemon, incoming).await?;
-            exchange::reply(&operators::TimelineReply {
+            let query = json::read(daemon, incoming).await?;
+            json::reply(&operators::TimelineReply {
                 dropped: daemon.timeline.dropped(),
                 events: daemon.timeline.query(&query),
                 vm: daemon.cfg.vm.clone(),
             })
         }
         (&Method::GET, other) => match configuration::generation(other) {
-            Some(generation) => exchange::reply(&configuration::earlier(daemon, generation).await?),
+            Some(generation) => json::reply(&configuration::earlier(daemon, generation).await?),
             None => Err(no_path().into()),
         },
         _ => Err(no_path().into()),
@@ -111,7 +111,7 @@
     // From this answer on nothing new is taken; the rest of the shutdown follows.
     daemon.leaving.set(true);
     daemon.refusing.set(true);
-    signals.order();
+    signals.request_shutdown();
     operators::LeaveReply {
         in_progress: daemon.in_progress(),
         vm: daemon.cfg.vm.clone(),
@@ -147,7 +147,10 @@
     let key = key
         .and_then(|key| String::from_utf8(key).ok())
         .ok_or_else(not_found)?;
-    let run = daemon.answers.get(&(customer, key)).ok_or_else(not_found)?;
+    let run = daemon
+        .answer_cache
+        .get(&(customer, key))
+        .ok_or_else(not_found)?;
     entry::respond(daemon, run.reader(), None).await
 }
 
--- a/crates/lilaccrankd/src/admin/metrics.rs
+++ b/crates/lilaccrankd/src/admin/metrics.rs
@@ -15,16 +15,16 @@
 pub type Result<T, E = prometheus::Error> = std::result::Result<T, E>;
 
 /// Bounds of the histograms in seconds.
-const SECONDS: [f64; 12] = [
+const LATENCY_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.7, 2.5, 5.0, 10.0,
 ];
 
 /// Upper bounds of the classes of lengths, in tokens; what is longer is in a class of its own.
-const LENGTHS: [u32; 5] = [0, 64, 256, 1_024, 4_096];
+const LENGTH_BOUNDS: [u32; 5] = [0, 64, 256, 1_024, 4_096];
 
 /// How long a request was, and how it ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Ended {
+pub struct EndStats {
     /// Tokens of its answer that came.
     pub answer_tokens: u32,
     /// Why there is no whole answer; `None` if there is.
@@ -101,7 +101,7 @@
                 "lilaccrank_first_token_seconds",
                 "Time from arrival to the first token",
             )
-            .buckets(SECONDS.to_vec()),
+            .buckets(LATENCY_BUCKETS.to_vec()),
         )?;
         let generation = IntGauge::new(
             "lilaccrank_configuration_generation",
@@ -150,25 +150,25 @@
     }
 
     /// Counts a whole answer.
-    pub fn answer(&self, tier: Tier) {
+    pub fn record_answer(&self, tier: Tier) {
         self.answered.with_label_values(&[&tier.to_string()]).inc();
     }
 
     /// Counts an end without a whole answer.
-    pub fn refuse(&self, kind: ErrorKind) {
+    pub fn record_refusal(&self, kind: ErrorKind) {
         self.refused.with_label_values(&[&kind.to_string()]).inc();
     }
 
     /// Counts a request by its lengths. A fault that strikes long requests only is not seen in counts
     /// of all.
-    pub fn end(&self, ended: Ended) {
-        let tier = ended.tier.to_string();
-        let end = ended
+    pub fn record_end(&self, stats: EndStats) {
+        let tier = stats.tier.to_string();
+        let end = stats
             .kind
             .map_or("whole".to_owned(), |kind| kind.to_string());
         for (counter, tokens) in [
-            (&self.ended_by_answer, ended.answer_tokens),
-            (&self.ended_by_prompt, ended.prompt_tokens),
+            (&self.ended_by_answer, stats.answer_tokens),
+            (&self.ended_by_prompt, stats.prompt_tokens),
         ] {
             let labels = [&*tier, &*end, &length_class(tokens)];
             counter.with_label_values(&labels).inc();
@@ -203,6 +203,6 @@
 }
 
 fn length_class(tokens: u32) -> String {
-    let bound = LENGTHS.into_iter().find(|bound| tokens <= *bound);
+    let bound = LENGTH_BOUNDS.into_iter().find(|bound| tokens <= *bound);
     bound.map_or("more".to_owned(), |bound| bound.to_string())
 }
--- a/crates/lilaccrankd/src/admin/orders.rs
+++ b/crates/lilaccrankd/src/admin/orders.rs
@@ -10,7 +10,7 @@
 use lilaccrank_http::body::Body;
 
 use super::error::Result;
-use super::exchange;
+use super::json;
 use crate::callers::refusal::Refusal;
 use crate::daemon::Daemon;
 use crate::orders::message::OrderRequest;
@@ -25,9 +25,9 @@
 async fn answer(daemon: &Rc<Daemon>, req: Request<Incoming>) -> Result<Response<Body>> {
     let (head, incoming) = req.into_parts();
     let operator = super::authenticate(daemon, &head.headers)?.id;
-    let order = exchange::read(daemon, incoming).await?;
-    let outcome = give(daemon, &operator, order).await?;
-    let mut res = exchange::reply(&outcome)?;
+    let order = json::read(daemon, incoming).await?;
+    let outcome = submit_order(daemon, &operator, order).await?;
+    let mut res = json::reply(&outcome)?;
     *res.status_mut() = match outcome {
         OrderOutcome::Done => StatusCode::OK,
         OrderOutcome::Refused { .. } => StatusCode::CONFLICT,
@@ -36,7 +36,11 @@
     Ok(res)
 }
 
-async fn give(daemon: &Rc<Daemon>, operator: &str, order: OperatorOrder) -> Result<OrderOutcome> {
+async fn submit_order(
+    daemon: &Rc<Daemon>,
+    operator: &str,
+    order: OperatorOrder,
+) -> Result<OrderOutcome> {
     if order.id.is_empty() {
         let hint = "id: give each order a name of its own";
         return Err(Refusal::new(ErrorKind::BadRequest, hint).into());
--- a/crates/lilaccrankd/src/admin/publication.rs
+++ b/crates/lilaccrankd/src/admin/publication.rs
@@ -26,7 +26,7 @@
 /// Time until the publication is known to stay.
 const CONFIRM_LIMIT: Duration = Duration::from_secs(5);
 /// Time between two looks.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Publishes what `author` sent.
 ///
@@ -70,13 +70,13 @@
     let until = MonoioClock.now() + SETTLE_LIMIT;
     loop {
         let reports = Reports::gather(daemon).await;
-        let taken = exchange::take_newest(&daemon.peers, &reports.heard, &daemon.adoption).await;
+        let taken = exchange::take_newest(&daemon.peers, &reports.received, &daemon.adoption).await;
         let Err(e) = taken else { return Ok(()) };
-        if over(until) {
+        if is_past(until) {
             let message = e.to_string();
             return Err(Failure::Unsettled { message }.into());
         }
-        MonoioClock.sleep(LOOK_AGAIN).await;
+        MonoioClock.sleep(RETRY_INTERVAL).await;
     }
 }
 
@@ -90,16 +90,16 @@
         let reports = Reports::gather(daemon).await;
         let left = until.saturating_duration_since(MonoioClock.now());
         let archive = Archive::new(&daemon.store, &MonoioClock, left);
-        let looked = publish::confirm(&archive, identity, &reports.held()).await;
-        match looked.map_err(|_| unresolved())? {
+        let confirmation = publish::confirm(&archive, identity, &reports.held()).await;
+        match confirmation.map_err(|_| unresolved())? {
             Confirmation::Displaced { by } => return Err(Failure::Displaced { by }.into()),
             Confirmation::InForce => return Ok(reports.unheard),
-            Confirmation::Pending if over(until) => return Err(unresolved().into()),
-            Confirmation::Pending => MonoioClock.sleep(LOOK_AGAIN).await,
+            Confirmation::Pending if is_past(until) => return Err(unresolved().into()),
+            Confirmation::Pending => MonoioClock.sleep(RETRY_INTERVAL).await,
         }
     }
 }
 
-fn over(until: Instant) -> bool {
+fn is_past(until: Instant) -> bool {
     MonoioClock.now() >= until
 }
--- a/crates/lilaccrankd/src/admin/reports.rs
+++ b/crates/lilaccrankd/src/admin/reports.rs
@@ -15,12 +15,12 @@
 
 /// Time for one member to tell. A silent one is on its way to be declared dead, and an
 /// operator's publication does not wait for that.
-const ASK_LIMIT: Duration = Duration::from_secs(2);
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The reports of all live members, this daemon's own among them.
 pub struct Reports {
     /// Who told.
-    pub heard: Vec<Report>,
+    pub received: Vec<Report>,
     /// Who did not.
     pub unheard: Vec<VmId>,
 }
@@ -31,12 +31,12 @@
         let live = daemon.membership.live();
         let asked = live.members.iter().map(|member| ask(daemon, &member.vm));
         let mut reports = Self {
-            heard: Vec::new(),
+            received: Vec::new(),
             unheard: Vec::new(),
         };
         for answer in future::join_all(asked).await {
             match answer {
-                Ok(report) => reports.heard.push(report),
+                Ok(report) => reports.received.push(report),
                 Err(vm) => reports.unheard.push(vm),
             }
         }
@@ -45,7 +45,10 @@
 
     /// The configurations held.
     pub fn held(&self) -> Vec<Identity> {
-        let held = self.heard.iter().filter_map(|report| report.held.clone());
+        let held = self
+            .received
+            .iter()
+            .filter_map(|report| report.held.clone());
         held.collect()
     }
 }
@@ -59,7 +62,7 @@
         });
     }
     let asking = daemon.peers.call(vm, HeldConfigurationRequest);
-    match clock::timeout(&MonoioClock, ASK_LIMIT, asking).await {
+    match clock::timeout(&MonoioClock, REPORT_TIMEOUT, asking).await {
         Some(Ok(HeldConfiguration { identity })) => Ok(Report {
             held: identity,
             vm: vm.clone(),
--- a/crates/lilaccrankd/src/args.rs
+++ b/crates/lilaccrankd/src/args.rs
@@ -88,7 +88,7 @@
         return ExitCode::SUCCESS;
     }
     json_logger::init(settings.log_level, &settings.vm);
-    let ended = match serve::run(settings, ports) {
+    let exit_code = match serve::run(settings, ports) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             log::error!("can't go on: {e}");
@@ -96,7 +96,7 @@
         }
     };
     log::logger().flush();
-    ended
+    exit_code
 }
 
 impl Args {
--- a/crates/lilaccrankd/src/callers/attach.rs
+++ b/crates/lilaccrankd/src/callers/attach.rs
@@ -65,7 +65,7 @@
 }
 
 fn local_reader(daemon: &Daemon, caller: &CallerRequest) -> Option<Reader> {
-    let buffer = daemon.answers.get(&caller.scoped_key()?)?;
+    let buffer = daemon.answer_cache.get(&caller.scoped_key()?)?;
     Some(buffer.reader())
 }
 
@@ -101,7 +101,8 @@
     let client = daemon.client.clone();
     let daemon = Rc::clone(daemon);
     monoio::spawn(async move {
-        let stopped = interruption::interrupted(&buffer, None, Duration::ZERO, &daemon.cutting);
+        let stopped =
+            interruption::interrupted(&buffer, None, Duration::ZERO, &daemon.abort_signal);
         let copying = relay::copy(&client, res, connection, bounds, &buffer);
         futures::pin_mut!(stopped, copying);
         let ended = match futures::future::select(copying, stopped).await {
--- a/crates/lilaccrankd/src/callers/entry.rs
+++ b/crates/lilaccrankd/src/callers/entry.rs
@@ -14,7 +14,7 @@
 use lilaccrank_http::body::{self, Body, BodySender};
 use lilaccrank_http::monoio_clock::MonoioClock;
 
-use crate::admin::metrics::Ended;
+use crate::admin::metrics::EndStats;
 use crate::callers::attach;
 use crate::callers::auth;
 use crate::callers::caller_request::CallerRequest;
@@ -37,7 +37,7 @@
     match accept(&daemon, req).await {
         Ok(res) => res,
         Err(refusal) => {
-            daemon.metrics.refuse(refusal.kind);
+            daemon.metrics.record_refusal(refusal.kind);
             log::info!(
                 age_ms = log_config_age(&daemon),
                 generation = log_generation(&daemon),
@@ -60,7 +60,7 @@
         ));
     }
     let in_force = daemon.in_force()?;
-    let in_progress = Rc::new(daemon.begin()?);
+    let in_progress = Rc::new(daemon.admit()?);
     let (head, incoming) = req.into_parts();
     let customer = customer(daemon, &in_force, &head.headers)?;
     let body = read_body(daemon, incoming, in_force.body_limit(&daemon.cfg)).await?;
@@ -90,7 +90,7 @@
     let charge = match daemon.quotas.charge(quota_req) {
         Ok(charge) => charge,
         Err(refusal) => {
-            daemon.metrics.end(Ended {
+            daemon.metrics.record_end(EndStats {
                 answer_tokens: 0,
                 kind: Some(refusal.kind),
                 prompt_tokens: caller.facts.prompt_tokens,
@@ -106,7 +106,7 @@
     let buffer = Rc::new(AnswerBuffer::default());
     let reader = buffer.reader();
     if let Some(scoped) = caller.scoped_key() {
-        daemon.answers.insert(scoped, Rc::clone(&buffer));
+        daemon.answer_cache.insert(scoped, Rc::clone(&buffer));
     }
     log::info!(
         age_ms = log_config_age(daemon),
--- a/crates/lilaccrankd/src/configuration.rs
+++ b/crates/lilaccrankd/src/configuration.rs
@@ -16,14 +16,14 @@
 use lilaccrank_http::monoio_clock::MonoioClock;
 use rand::seq::{IndexedRandom, IteratorRandom};
 
-use crate::configuration::source::Intake;
+use crate::configuration::source::UpdateHandler;
 use crate::daemon::Daemon;
 use crate::peers::message::{Announcement, Done};
 
 pub mod feed;
-pub mod heard;
 pub mod in_force;
-pub mod own_source;
+pub mod native_source;
+pub mod platform_contact;
 pub mod source;
 
 /// Members told at once of a new configuration; each of them tells as many.
@@ -37,51 +37,51 @@
 const STALE_AFTER: Duration = Duration::from_millis(1_400);
 /// For each member, the time over which those that have heard nothing spread their questions:
 /// with seven members four of them ask within a tenth of a second.
-const STALE_SPREAD: Duration = Duration::from_millis(20);
+const STALE_JITTER_PER_MEMBER: Duration = Duration::from_millis(20);
 /// That time at most. What a few learn takes a second or two to reach all of a large fleet, and a
 /// target that leaves may get nothing new after three: over 71 members the spread alone would be 1.4
 /// seconds, on top of the 1.75 until the silence is seen.
-const STALE_SPREAD_MOST: Duration = Duration::from_millis(400);
+const STALE_JITTER_MAX: Duration = Duration::from_millis(400);
 
 /// Follows the configuration for as long as the daemon runs.
 pub async fn run(daemon: Rc<Daemon>) {
-    let watching = watch_while_on_duty(&daemon);
+    let watching = watch_while_needed(&daemon);
     let comparing = compare(&daemon);
-    let hearing = feed::follow(&daemon);
-    let spreading = put_in_force(&daemon);
-    pin_mut!(watching, comparing, hearing, spreading);
-    future::join4(watching, comparing, hearing, spreading).await;
+    let polling = feed::follow(&daemon);
+    let applying = put_in_force(&daemon);
+    pin_mut!(watching, comparing, polling, applying);
+    future::join4(watching, comparing, polling, applying).await;
 }
 
 /// Takes in that another daemon has a new configuration.
-pub fn announced(daemon: &Rc<Daemon>, announcement: Announcement) -> Done {
+pub fn handle_announcement(daemon: &Rc<Daemon>, announcement: Announcement) -> Done {
     if daemon.adoption.wants(&announcement.identity) {
         let daemon = Rc::clone(daemon);
-        monoio::spawn(async move { take(&daemon, &announcement.vm).await });
+        monoio::spawn(async move { pull_configuration(&daemon, &announcement.vm).await });
     }
     Done
 }
 
 /// Follows the platform while that is this daemon's duty, or while nobody else can.
-async fn watch_while_on_duty(daemon: &Rc<Daemon>) {
+async fn watch_while_needed(daemon: &Rc<Daemon>) {
     loop {
-        needed(daemon).await;
-        let watching = daemon.ports.source.follow(Intake::new(daemon));
-        let relieved = relieved(daemon);
-        pin_mut!(watching, relieved);
-        future::select(watching, relieved).await;
+        until_needed(daemon).await;
+        let watching = daemon.ports.source.follow(UpdateHandler::new(daemon));
+        let until_relieved = until_relieved(daemon);
+        pin_mut!(watching, until_relieved);
+        future::select(watching, until_relieved).await;
     }
 }
 
 /// Completes once this daemon has to follow the platform itself.
-async fn needed(daemon: &Daemon) {
+async fn until_needed(daemon: &Daemon) {
     while !daemon.duties.is_watcher() {
         let version = daemon.membership.live().version;
         let changed = daemon.membership.changed(version);
-        let stale = stale(daemon);
-        pin_mut!(changed, stale);
-        if let Either::Right(_) = future::select(changed, stale).await {
-            let age = daemon.heard.age(MonoioClock.boot());
+        let until_stale = until_stale(daemon);
+        pin_mut!(changed, until_stale);
+        if let Either::Right(_) = future::select(changed, until_stale).await {
+            let age = daemon.platform_contact.age(MonoioClock.boot());
             log::warn!(
                 heard_ms_ago = age.map_or(-1, |age| age.as_millis() as i64);
                 "no watcher tells anything new: this daemon asks the platform itself"
@@ -95,7 +95,7 @@
 ///
 /// The platform may turn away just the daemons that watch. Each other daemon then waits for a
 /// time of its own, so that a few of them ask first and tell the rest.
-async fn stale(daemon: &Daemon) {
+async fn until_stale(daemon: &Daemon) {
     if daemon.cfg.configuration_lease_ms == 0 {
         return future::pending().await;
     }
@@ -105,8 +105,8 @@
             continue;
         }
         let members = daemon.membership.live().members.len();
-        let spread = backoff::full_jitter(stale_spread(members));
-        monoio::time::sleep(spread).await;
+        let jitter = backoff::full_jitter(stale_jitter(members));
+        monoio::time::sleep(jitter).await;
         if is_stale(daemon) {
             return;
         }
@@ -115,17 +115,19 @@
 
 /// Time over which the members that have heard nothing spread their questions to the platform.
 #[must_use]
-pub fn stale_spread(members: usize) -> Duration {
+pub fn stale_jitter(members: usize) -> Duration {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
-    STALE_SPREAD.saturating_mul(members).min(STALE_SPREAD_MOST)
+    STALE_JITTER_PER_MEMBER
+        .saturating_mul(members)
+        .min(STALE_JITTER_MAX)
 }
 
 /// Completes once the watch is another member's duty and, where knowledge has to be fresh, that
 /// member tells what it learns.
-async fn relieved(daemon: &Daemon) {
+async fn until_relieved(daemon: &Daemon) {
     loop {
         let version = daemon.membership.live().version;
-        if !daemon.duties.is_watcher() && is_told(daemon) {
+        if !daemon.duties.is_watcher() && has_fresh_watcher(daemon) {
             return;
         }
         let changed = daemon.membership.changed(version);
@@ -134,14 +136,14 @@
 }
 
 fn is_stale(daemon: &Daemon) -> bool {
-    let heard = daemon.heard.age(MonoioClock.boot());
-    heard.is_none_or(|age| age >= STALE_AFTER)
+    let contact_age = daemon.platform_contact.age(MonoioClock.boot());
+    contact_age.is_none_or(|age| age >= STALE_AFTER)
 }
 
 /// Whether a watcher hears the platform, and has told so of late.
-fn is_told(daemon: &Daemon) -> bool {
-    let heard = daemon.heard.watcher_age(MonoioClock.boot());
-    daemon.cfg.configuration_lease_ms == 0 || heard.is_some_and(|age| age < STALE_AFTER)
+fn has_fresh_watcher(daemon: &Daemon) -> bool {
+    let contact_age = daemon.platform_contact.watcher_age(MonoioClock.boot());
+    daemon.cfg.configuration_lease_ms == 0 || contact_age.is_some_and(|age| age < STALE_AFTER)
 }
 
 async fn put_in_force(daemon: &Rc<Daemon>) {
@@ -166,8 +168,8 @@
         };
         let (peers, vm) = (daemon.peers.clone(), member.vm.clone());
         monoio::spawn(async move {
-            let told: lilaccrank::peers::Result<Done> = peers.call(&vm, announcement).await;
-            if let Err(e) = told {
+            let result: lilaccrank::peers::Result<Done> = peers.call(&vm, announcement).await;
+            if let Err(e) = result {
                 log::debug!("a new configuration could not be announced: {e}");
             }
         });
@@ -183,25 +185,25 @@
         let live = daemon.membership.live();
         let others = live.members.iter().filter(|member| member.vm != me.vm);
         if let Some(member) = others.choose(&mut rand::rng()) {
-            take(daemon, &member.vm).await;
+            pull_configuration(daemon, &member.vm).await;
         }
         if daemon.duties.is_watcher()
-            && let Some(vm) = in_other_data_centre(daemon)
+            && let Some(vm) = random_remote_daemon(daemon)
         {
-            take(daemon, &vm).await;
+            pull_configuration(daemon, &vm).await;
         }
     }
 }
 
 /// Some daemon of another data centre, by its peer address.
-fn in_other_data_centre(daemon: &Daemon) -> Option<VmId> {
+fn random_remote_daemon(daemon: &Daemon) -> Option<VmId> {
     let others = daemon.cfg.other_data_centres.values();
     let daemons = others.choose(&mut rand::rng())?;
     let daemon = daemons.choose(&mut rand::rng())?;
     Some(daemon.peer.to_string())
 }
 
-pub(crate) async fn take(daemon: &Daemon, vm: &VmId) {
+pub(crate) async fn pull_configuration(daemon: &Daemon, vm: &VmId) {
     let before = daemon.adoption.identity();
     match exchange::take_from(&daemon.peers, vm, &daemon.adoption).await {
         Ok(now) if standing(before.as_ref(), now.as_ref()) == Some(Standing::Newer) => {
--- a/crates/lilaccrankd/src/configuration/feed.rs
+++ b/crates/lilaccrankd/src/configuration/feed.rs
@@ -20,7 +20,7 @@
 
 /// Age of what a watcher tells at most, as long as it hears the platform: it waits for a change
 /// for eight tenths of a second.
-const FRESH: Duration = Duration::from_millis(1_000);
+const FRESH_AGE: Duration = Duration::from_millis(1_000);
 
 /// Asks the watchers in turn for as long as the daemon runs, and any other member where they know
 /// nothing fresh.
@@ -30,31 +30,31 @@
     loop {
         monoio::time::sleep(every / 2 + backoff::full_jitter(every)).await;
         turn += 1;
-        let heard = daemon.heard.age(MonoioClock.boot());
-        let stale = heard.is_none_or(|age| age > FRESH);
-        let direct = daemon.heard.direct_age(MonoioClock.boot());
-        let follows = direct.is_some_and(|age| age < FRESH);
+        let contact_age = daemon.platform_contact.age(MonoioClock.boot());
+        let stale = contact_age.is_none_or(|age| age > FRESH_AGE);
+        let direct = daemon.platform_contact.direct_age(MonoioClock.boot());
+        let follows = direct.is_some_and(|age| age < FRESH_AGE);
         if daemon.duties.is_watcher() && follows {
             continue;
         }
         // A watcher that is turned away hears of others what the platform tells them.
         let needs_others = stale || daemon.duties.is_watcher();
-        let asked = if needs_others && turn % 2 == 0 {
-            any_member(daemon)
+        let peer = if needs_others && turn % 2 == 0 {
+            random_member(daemon)
         } else {
-            watcher(daemon, turn)
+            next_watcher(daemon, turn)
         };
-        if let Some(vm) = asked {
-            ask(daemon, &vm).await;
+        if let Some(vm) = peer {
+            poll(daemon, &vm).await;
         }
     }
 }
 
 /// Answers another daemon.
-pub fn answer(daemon: &Daemon, asked: &FeedRequest) -> Feed {
+pub fn answer(daemon: &Daemon, request: &FeedRequest) -> Feed {
     let listing = daemon.live_list.listing();
     let asker_has = Listing {
-        revision: asked.revision,
+        revision: request.revision,
         ..Listing::default()
     };
     let now = MonoioClock.boot();
@@ -63,17 +63,17 @@
     Feed {
         advisories: daemon
             .advisories
-            .answer(&asked.advisories, incarnation, cell),
+            .answer(&request.advisories, incarnation, cell),
         age: daemon.adoption.age(now),
         identity: daemon.adoption.identity(),
-        direct_age: daemon.heard.direct_age(now),
-        heard_age: daemon.heard.age(now),
+        direct_age: daemon.platform_contact.direct_age(now),
+        heard_age: daemon.platform_contact.age(now),
         listing: listing.replaces(&asker_has).then(|| (*listing).clone()),
         listing_age: daemon.live_list.age(now),
     }
 }
 
-fn watcher(daemon: &Daemon, turn: usize) -> Option<VmId> {
+fn next_watcher(daemon: &Daemon, turn: usize) -> Option<VmId> {
     let me = daemon.duties.me().vm;
     let watchers = daemon.duties.watchers();
     let others: Vec<_> = watchers.into_iter().filter(|vm| *vm != me).collect();
@@ -81,7 +81,7 @@
     others.into_iter().nth(at)
 }
 
-fn any_member(daemon: &Daemon) -> Option<VmId> {
+fn random_member(daemon: &Daemon) -> Option<VmId> {
     let me = daemon.duties.me().vm;
     let live = daemon.membership.live();
     let others = live.members.iter().filter(|member| member.vm != me);
@@ -90,41 +90,45 @@
         .map(|member| member.vm.clone())
 }
 
-async fn ask(daemon: &Rc<Daemon>, vm: &VmId) {
-    let asked = MonoioClock.boot();
+async fn poll(daemon: &Rc<Daemon>, vm: &VmId) {
+    let asked_at = MonoioClock.boot();
     let known = daemon.live_list.listing();
     let req = FeedRequest {
         advisories: daemon.advisories.pull(vm),
         revision: known.revision,
     };
-    let told: Feed = match daemon.peers.call(vm, req).await {
-        Ok(told) => told,
+    let reply: Feed = match daemon.peers.call(vm, req).await {
+        Ok(reply) => reply,
         Err(e) => return log::debug!("nothing heard from {vm}: {e}"),
     };
     let cell = &daemon.load_exchange;
-    daemon.advisories.merge_page(vm, &told.advisories, cell);
-    if let Some(listing) = told.listing {
+    daemon.advisories.merge_page(vm, &reply.advisories, cell);
+    if let Some(listing) = reply.listing {
         live_list::apply_listing(daemon, listing);
     }
-    if let Some(identity) = &told.identity
+    if let Some(identity) = &reply.identity
         && daemon.adoption.wants(identity)
     {
-        configuration::take(daemon, vm).await;
+        configuration::pull_configuration(daemon, vm).await;
     }
     // What the other one knew was at least this fresh when it was asked.
     let generation = |identity: Option<Identity>| identity.map(|found| found.generation);
-    let current = generation(daemon.adoption.identity()) >= generation(told.identity);
-    if let Some(age) = told.age.filter(|_| current) {
-        daemon.adoption.confirm(asked.saturating_sub(age));
+    let current = generation(daemon.adoption.identity()) >= generation(reply.identity);
+    if let Some(age) = reply.age.filter(|_| current) {
+        daemon.adoption.confirm(asked_at.saturating_sub(age));
     }
-    if let Some(age) = told.listing_age {
-        daemon.live_list.confirm(asked.saturating_sub(age));
+    if let Some(age) = reply.listing_age {
+        daemon.live_list.confirm(asked_at.saturating_sub(age));
     }
-    if let Some(age) = told.heard_age {
-        daemon.heard.from_peer(asked.saturating_sub(age));
+    if let Some(age) = reply.heard_age {
+        daemon
+            .platform_contact
+            .record_peer(asked_at.saturating_sub(age));
     }
     let is_watcher = daemon.duties.watchers().contains(vm);
-    if let Some(age) = told.direct_age.filter(|_| is_watcher) {
-        daemon.heard.from_watcher(asked.saturating_sub(age));
+    if let Some(age) = reply.direct_age.filter(|_| is_watcher) {
+        daemon
+            .platform_contact
+            .record_watcher(asked_at.saturating_sub(age));
     }
 }
--- a/crates/lilaccrankd/src/configuration/own_source.rs
+++ b/crates/lilaccrankd/src/configuration/native_source.rs
@@ -13,7 +13,7 @@
 use lilaccrank_http::monoio_clock::MonoioClock;
 use serde::Deserialize;
 
-use crate::configuration::source::{Intake, Source};
+use crate::configuration::source::{Source, UpdateHandler};
 use crate::daemon::Daemon;
 use crate::targets::live_list::Listing;
 
@@ -25,10 +25,10 @@
 
 /// The product's own source.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnSource;
+pub struct NativeSource;
 
 #[derive(Deserialize)]
-struct Listed {
+struct VmEntry {
     data_centre: DataCentre,
     #[serde(default)]
     gossip: String,
@@ -43,30 +43,30 @@
     Live,
 }
 
-impl Source for OwnSource {
-    fn follow(&self, intake: Intake) -> LocalBoxFuture<'static, ()> {
+impl Source for NativeSource {
+    fn follow(&self, handler: UpdateHandler) -> LocalBoxFuture<'static, ()> {
         async move {
-            let daemon = Rc::clone(intake.daemon());
+            let daemon = Rc::clone(handler.daemon());
             let store = daemon.store.clone();
             let adoption = daemon.adoption.clone();
             let publications =
                 watcher::run_watcher(store, MonoioClock, adoption, Timing::default());
-            future::join(publications, follow_list(&daemon, &intake)).await;
+            future::join(publications, follow_list(&daemon, &handler)).await;
         }
         .boxed_local()
     }
 }
 
-async fn follow_list(daemon: &Daemon, intake: &Intake) {
+async fn follow_list(daemon: &Daemon, handler: &UpdateHandler) {
     loop {
         // A list that can't be had leaves what is known in place: a leaving target stays so.
         let asked = MonoioClock.boot();
         if let Some(leaving) = read(daemon).await {
-            intake.listing(Listing {
+            handler.update_listing(Listing {
                 leaving,
                 ..Listing::default()
             });
-            intake.listing_confirmed(asked);
+            handler.confirm_listing(asked);
         }
         monoio::time::sleep(LIST_EVERY).await;
     }
@@ -74,7 +74,7 @@
 
 async fn read(daemon: &Daemon) -> Option<IndexSet<VmId>> {
     let bytes = daemon.platform.read(PATH).await.ok()?;
-    let listed: Vec<Listed> = match serde_json::from_slice(&bytes) {
+    let listed: Vec<VmEntry> = match serde_json::from_slice(&bytes) {
         Ok(listed) => listed,
         Err(e) => {
             log::warn!("the platform's list of vms can't be read: {e}");
--- a/crates/lilaccrankd/src/configuration/heard.rs
+++ b/crates/lilaccrankd/src/configuration/platform_contact.rs
@@ -10,17 +10,17 @@
 
 /// Silence after which entries of targets that live may have lapsed: a target renews its entry
 /// every second or so, and it lapses after three times as long.
-const OUTAGE: Duration = Duration::from_millis(2_200);
+const LIST_OUTAGE: Duration = Duration::from_millis(2_200);
 /// Time after such a silence in which living targets come back. What is missing then has gone.
-const RETURN_TIME: Duration = Duration::from_millis(2_200);
+const RECOVERY_TIME: Duration = Duration::from_millis(2_200);
 
 /// When the platform was last heard.
 #[derive(Default)]
-pub struct Heard {
+pub struct PlatformContact {
     /// Of configurations, by whichever way.
     configuration: Cell<Option<BootTime>>,
     /// By this daemon itself.
-    directly: Cell<Option<BootTime>>,
+    direct: Cell<Option<BootTime>>,
     /// Of the list of targets, by whichever way.
     list: Cell<Option<BootTime>>,
     /// When the last silence about the list ended in which entries may have lapsed.
@@ -29,30 +29,33 @@
     watcher: Cell<Option<BootTime>>,
 }
 
-impl Heard {
+impl PlatformContact {
     /// The platform answered this daemon about configurations.
-    pub fn configuration(&self, at: BootTime) {
-        later(&self.configuration, at);
-        later(&self.directly, at);
+    pub fn record_configuration(&self, at: BootTime) {
+        advance(&self.configuration, at);
+        advance(&self.direct, at);
     }
 
     /// The platform answered this daemon about the list of targets.
-    pub fn list(&self, at: BootTime) {
-        if self.list_age(at).is_some_and(|silence| silence > OUTAGE) {
-            later(&self.outage_ended, at);
+    pub fn record_list(&self, at: BootTime) {
+        if self
+            .list_age(at)
+            .is_some_and(|silence| silence > LIST_OUTAGE)
+        {
+            advance(&self.outage_ended, at);
         }
-        later(&self.list, at);
+        advance(&self.list, at);
     }
 
     /// Another daemon had heard it at `at`.
-    pub fn from_peer(&self, at: BootTime) {
-        later(&self.configuration, at);
-        self.list(at);
+    pub fn record_peer(&self, at: BootTime) {
+        advance(&self.configuration, at);
+        self.record_list(at);
     }
 
     /// A watcher had heard it itself at `at`.
-    pub fn from_watcher(&self, at: BootTime) {
-        later(&self.watcher, at);
+    pub fn record_watcher(&self, at: BootTime) {
+        advance(&self.watcher, at);
     }
 
     /// How long ago it was last heard of both; `None` if it never was.
@@ -65,9 +68,9 @@
     /// Whether entries of targets that live may be missing from a list that comes now.
     #[must_use]
     pub fn may_lapse(&self, now: BootTime) -> bool {
-        let silent = self.list_age(now).is_some_and(|age| age > OUTAGE);
+        let silent = self.list_age(now).is_some_and(|age| age > LIST_OUTAGE);
         let ended = self.outage_ended.get();
-        silent || ended.is_some_and(|ended| now.saturating_sub(ended) < RETURN_TIME)
+        silent || ended.is_some_and(|ended| now.saturating_sub(ended) < RECOVERY_TIME)
     }
 
     /// How long ago it was last heard of the list of targets.
@@ -79,7 +82,7 @@
     /// How long ago this daemon itself heard it.
     #[must_use]
     pub fn direct_age(&self, now: BootTime) -> Option<Duration> {
-        Some(now.saturating_sub(self.directly.get()?))
+        Some(now.saturating_sub(self.direct.get()?))
     }
 
     /// How long ago a watcher itself had heard it.
@@ -89,6 +92,6 @@
     }
 }
 
-fn later(cell: &Cell<Option<BootTime>>, at: BootTime) {
+fn advance(cell: &Cell<Option<BootTime>>, at: BootTime) {
     cell.set(cell.get().max(Some(at)));
 }
--- a/crates/lilaccrankd/src/configuration/source.rs
+++ b/crates/lilaccrankd/src/configuration/source.rs
@@ -16,17 +16,17 @@
 /// Follows what the platform says, and tells the daemon.
 pub trait Source {
     /// Follows for as long as it is polled; it never ends by itself.
-    fn follow(&self, intake: Intake) -> LocalBoxFuture<'static, ()>;
+    fn follow(&self, handler: UpdateHandler) -> LocalBoxFuture<'static, ()>;
 }
 
 /// Takes in what a source found.
 #[derive(Clone)]
-pub struct Intake {
+pub struct UpdateHandler {
     daemon: Rc<Daemon>,
 }
 
-impl Intake {
-    /// The intake of a daemon.
+impl UpdateHandler {
+    /// The handler of a daemon.
     #[must_use]
     pub fn new(daemon: &Rc<Daemon>) -> Self {
         Self {
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// It has problems; the one in force stays.
-    pub fn configuration(
+    pub fn adopt_configuration(
         &self,
         identity: Identity,
         author: &str,
@@ -68,19 +68,21 @@
     }
 
     /// Nothing newer than what is in force was published before `at`.
-    pub fn confirmed(&self, at: BootTime) {
+    pub fn confirm_configuration(&self, at: BootTime) {
         self.daemon.adoption.confirm(at);
-        self.daemon.heard.configuration(MonoioClock.boot());
+        self.daemon
+            .platform_contact
+            .record_configuration(MonoioClock.boot());
     }
 
     /// Takes over a list of targets.
-    pub fn listing(&self, listing: Listing) {
+    pub fn update_listing(&self, listing: Listing) {
         live_list::apply_listing(&self.daemon, listing);
     }
 
     /// The list of targets was the newest at `at`.
-    pub fn listing_confirmed(&self, at: BootTime) {
+    pub fn confirm_listing(&self, at: BootTime) {
         self.daemon.live_list.confirm(at);
-        self.daemon.heard.list(MonoioClock.boot());
+        self.daemon.platform_contact.record_list(MonoioClock.boot());
     }
 }
--- a/crates/lilaccrankd/src/daemon.rs
+++ b/crates/lilaccrankd/src/daemon.rs
@@ -23,8 +23,8 @@
 use crate::admin::metrics::Metrics;
 use crate::callers::answer_cache::AnswerCache;
 use crate::callers::refusal::Refusal;
-use crate::configuration::heard::Heard;
 use crate::configuration::in_force::InForce;
+use crate::configuration::platform_contact::PlatformContact;
 use crate::orders::manager::{self, OrderManager};
 use crate::peers::advisories::SharedAdvisories;
 use crate::peers::duties::Duties;
@@ -55,7 +55,7 @@
 /// Part of the lease that is left for the way from the check to the target.
 const LEASE_MARGIN: Duration = Duration::from_millis(250);
 /// Longest time for a keeper to tell about a key.
-const KEEPER_WAIT: Duration = Duration::from_secs(2);
+const KEEPER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What the tasks of a daemon share.
 pub struct Daemon {
@@ -64,7 +64,7 @@
     /// Crashes and rate limits that all daemons observe.
     pub advisories: SharedAdvisories,
     /// Answers of keyed requests.
-    pub answers: AnswerCache,
+    pub answer_cache: AnswerCache,
     /// Settings.
     pub cfg: Settings,
     /// Request keys.
@@ -72,7 +72,7 @@
     /// Connections to targets.
     pub client: Client,
     /// Ends what is in progress when the daemon can't wait for it.
-    pub cutting: AbortSignal,
+    pub abort_signal: AbortSignal,
     /// Who dispatches which pool.
     pub duties: Duties,
     in_force: RefCell<Option<Rc<InForce>>>,
@@ -88,7 +88,7 @@
     /// What callers may send in a head.
     pub head_limits: Rc<Cell<HeadLimits>>,
     /// When the platform was last heard.
-    pub heard: Heard,
+    pub platform_contact: PlatformContact,
     /// What the daemons have on targets.
     pub load_exchange: LoadExchange,
     /// The platform's list of targets.
@@ -96,7 +96,7 @@
     /// Members of this data centre.
     pub membership: Membership,
     /// Orders to targets.
-    pub order_keeper: OrderManager,
+    pub order_manager: OrderManager,
     /// Other daemons.
     pub peers: PeerNetwork,
     /// The platform beside its store.
@@ -115,7 +115,7 @@
     pub refusing: Cell<bool>,
     requests: Cell<u64>,
     /// Second sends of requests.
-    pub second_sends: PoolRetryBudgets,
+    pub retry_budgets: PoolRetryBudgets,
     /// The platform's store.
     pub store: PlatformStore,
     /// Events.
@@ -167,18 +167,18 @@
         );
         let per_s = f64::from(cfg.store_claims_per_s);
         let budget = Budget::new(MonoioClock, per_s, per_s * STORE_CLAIMS_BURST);
-        let claims = Claims::new(keeper.clone(), store.clone(), budget, KEEPER_WAIT);
-        let order_keeper = OrderManager::new(&cfg, incarnation, store.clone());
+        let claims = Claims::new(keeper.clone(), store.clone(), budget, KEEPER_TIMEOUT);
+        let order_manager = OrderManager::new(&cfg, incarnation, store.clone());
         Ok(Self {
             adoption: Adoption::new(),
             advisories: SharedAdvisories::default(),
-            answers: AnswerCache::new(
+            answer_cache: AnswerCache::new(
                 Duration::from_millis(cfg.answer_ttl_ms),
                 cfg.answer_cache_bytes,
             ),
             claims,
             client: Client::default(),
-            cutting: AbortSignal::default(),
+            abort_signal: AbortSignal::default(),
             duties,
             in_force: RefCell::default(),
             in_progress: Cell::new(0),
@@ -186,13 +186,13 @@
             keeper,
             keys_settled: Cell::new(false),
             head_limits: Rc::default(),
-            heard: Heard::default(),
+            platform_contact: PlatformContact::default(),
             leaving: Cell::new(false),
             live_list: LiveList::default(),
             load_exchange: LoadExchange::default(),
             membership,
             metrics: Metrics::new(Rc::clone(&traffic))?,
-            order_keeper,
+            order_manager,
             peers,
             platform,
             ports,
@@ -202,7 +202,7 @@
             quotas: Quotas::new(cfg.seeds.len(), cfg.quota_reserve),
             refusing: Cell::new(false),
             requests: Cell::new(0),
-            second_sends: PoolRetryBudgets::new(&cfg.retries),
+            retry_budgets: PoolRetryBudgets::new(&cfg.retries),
             store,
             timeline,
             traffic,
@@ -291,7 +291,7 @@
     /// # Errors
     ///
     /// [`ErrorKind::Overloaded`] over the bound.
-    pub fn begin(self: &Rc<Self>) -> Result<InProgress> {
+    pub fn admit(self: &Rc<Self>) -> Result<InProgress> {
         if self.in_progress.get() >= self.cfg.request_limit {
             let message = "this daemon has as many requests as it can hold";
             return Err(Refusal::new(ErrorKind::Overloaded, message));
@@ -307,7 +307,7 @@
     }
 
     /// How long targets may be silent.
-    pub fn patience(&self) -> SilenceTimeouts {
+    pub fn silence_timeouts(&self) -> SilenceTimeouts {
         SilenceTimeouts {
             first: Duration::from_millis(self.cfg.first_token_ms),
             next: Duration::from_millis(self.cfg.between_tokens_ms),
--- a/crates/lilaccrankd/src/json_logger.rs
+++ b/crates/lilaccrankd/src/json_logger.rs
@@ -26,7 +26,7 @@
 /// Lines that may come at once after a quiet time.
 const BURST: f64 = 2_000.0;
 /// Lines that wait for the output.
-const BUFFERED: usize = 4_096;
+const BUFFER_LINES: usize = 4_096;
 
 /// Longest wait for the lines that are left at the end.
 const FLUSH_LIMIT: Duration = Duration::from_millis(200);
@@ -43,28 +43,28 @@
 struct JsonLogger {
     level: LevelFilter,
     lines: SyncSender<Message>,
-    left_out: AtomicU64,
-    rate: Mutex<Rate>,
+    dropped: AtomicU64,
+    bucket: Mutex<TokenBucket>,
     vm: String,
 }
 
 /// A bucket of lines.
-struct Rate {
-    filled: Instant,
-    left: f64,
+struct TokenBucket {
+    refilled: Instant,
+    tokens: f64,
 }
 
 /// Starts logging for the daemon on `vm`.
 pub fn init(level: LevelFilter, vm: &str) {
-    let (tx, rx) = mpsc::sync_channel(BUFFERED);
+    let (tx, rx) = mpsc::sync_channel(BUFFER_LINES);
     thread::spawn(move || write_lines(&rx));
     let logger = JsonLogger {
         level,
         lines: tx,
-        left_out: AtomicU64::new(0),
-        rate: Mutex::new(Rate {
-            filled: Instant::now(),
-            left: BURST,
+        dropped: AtomicU64::new(0),
+        bucket: Mutex::new(TokenBucket {
+            refilled: Instant::now(),
+            tokens: BURST,
         }),
         vm: vm.to_owned(),
     };
@@ -88,14 +88,14 @@
     }
 }
 
-impl Rate {
-    fn take(&mut self, now: Instant) -> bool {
-        let since = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = now;
-        self.left = (self.left + since * LINES_PER_S).min(BURST);
-        let allowed = self.left >= 1.0;
+impl TokenBucket {
+    fn try_take(&mut self, now: Instant) -> bool {
+        let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
+        self.refilled = now;
+        self.tokens = (self.tokens + elapsed * LINES_PER_S).min(BURST);
+        let allowed = self.tokens >= 1.0;
         if allowed {
-            self.left -= 1.0;
+            self.tokens -= 1.0;
         }
         allowed
     }
@@ -104,8 +104,8 @@
 impl JsonLogger {
     /// Errors and warnings are few and always pass.
     fn may_write(&self, level: Level) -> bool {
-        let rate = self.rate.lock();
-        let allowed = rate.is_ok_and(|mut rate| rate.take(Instant::now()));
+        let bucket = self.bucket.lock();
+        let allowed = bucket.is_ok_and(|mut bucket| bucket.try_take(Instant::now()));
         allowed || level <= Level::Warn
     }
 
@@ -117,9 +117,9 @@
         fields.add("message", record.args().to_string().into());
         fields.add("module", record.target().into());
         fields.add("vm", self.vm.as_str().into());
-        let left_out = self.left_out.swap(0, Ordering::Relaxed);
-        if left_out > 0 {
-            fields.add("lines_left_out", left_out.into());
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            fields.add("lines_left_out", dropped.into());
         }
         // A value that can't be shown costs its own field only.
         let _ = record.key_values().visit(&mut fields);
@@ -144,8 +144,8 @@
             number.into()
         } else if let Some(number) = value.to_f64() {
             number.into()
-        } else if let Some(truth) = value.to_bool() {
-            truth.into()
+        } else if let Some(flag) = value.to_bool() {
+            flag.into()
         } else {
             value.to_string().into()
         };
@@ -168,7 +168,7 @@
             self.lines.try_send(Message::Line(line)).is_ok()
         };
         if !written {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
--- a/crates/lilaccrankd/src/objects.rs
+++ b/crates/lilaccrankd/src/objects.rs
@@ -30,9 +30,9 @@
 
 /// The product's own objects.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnObjects;
+pub struct NativeObjects;
 
-impl Objects for OwnObjects {
+impl Objects for NativeObjects {
     fn read(
         &self,
         daemon: &Rc<Daemon>,
--- a/crates/lilaccrankd/src/orders/jobs.rs
+++ b/crates/lilaccrankd/src/orders/jobs.rs
@@ -62,7 +62,7 @@
 
 /// Begins an order that is asked for with its token, or tells how it is getting on.
 pub fn handle(daemon: &Rc<Daemon>, req: OrderRequest) -> OrderReply {
-    let mut all = daemon.order_keeper.jobs.jobs.borrow_mut();
+    let mut all = daemon.order_manager.jobs.jobs.borrow_mut();
     if let Some(job) = all.get_mut(&req.id) {
         if job.is_confirmed_by(&req) {
             job.state = State::Running;
@@ -73,7 +73,7 @@
             return reply;
         }
     }
-    if daemon.order_keeper.active_orders(&req.pool).is_none() {
+    if daemon.order_manager.active_orders(&req.pool).is_none() {
         return OrderReply::Declined;
     }
     all.retain(|_, job| matches!(job.state, State::Running) || job.created.elapsed() < RETENTION);
@@ -100,14 +100,14 @@
         ..Subject::default()
     };
     daemon.record(EventKind::Ordered, subject);
-    let mut all = daemon.order_keeper.jobs.jobs.borrow_mut();
+    let mut all = daemon.order_manager.jobs.jobs.borrow_mut();
     if let Some(job) = all.get_mut(&req.id) {
         job.state = State::Ended(outcome);
     }
 }
 
 async fn give(daemon: &Daemon, req: &OrderRequest) -> OrderOutcome {
-    let pool_orders = daemon.order_keeper.active_orders(&req.pool);
+    let pool_orders = daemon.order_manager.active_orders(&req.pool);
     let target = pool_orders.and_then(|it| it.target(&req.target).map(|target| (it, target)));
     let Some((pool_orders, target)) = target else {
         return OrderOutcome::Refused {
--- a/crates/lilaccrankd/src/orders/manager.rs
+++ b/crates/lilaccrankd/src/orders/manager.rs
@@ -69,7 +69,7 @@
         return;
     };
     let pools = &in_force.document.pools;
-    let manager = &daemon.order_keeper;
+    let manager = &daemon.order_manager;
     let incarnation = daemon.duties.me().incarnation;
     for (pool, pool_orders) in manager.pools.borrow().iter() {
         if !pools.iter().any(|configured| configured.id == *pool) {
--- a/crates/lilaccrankd/src/orders/relay.rs
+++ b/crates/lilaccrankd/src/orders/relay.rs
@@ -16,7 +16,7 @@
 
 /// Has an order given, and waits for its end within the time that it may take.
 pub async fn submit(daemon: &Rc<Daemon>, mut req: OrderRequest) -> OrderOutcome {
-    let deadline = Instant::now() + daemon.order_keeper.timeouts.max_order_duration();
+    let deadline = Instant::now() + daemon.order_manager.timeouts.max_order_duration();
     // The daemon that may have begun it.
     let mut started_on: Option<MemberRef> = None;
     loop {
--- a/crates/lilaccrankd/src/ports.rs
+++ b/crates/lilaccrankd/src/ports.rs
@@ -6,9 +6,9 @@
 
 use crate::callers::native_protocol::NativeProtocol;
 use crate::callers::protocol::CallerProtocol;
-use crate::configuration::own_source::OwnSource;
+use crate::configuration::native_source::NativeSource;
 use crate::configuration::source::Source;
-use crate::objects::{Objects, OwnObjects};
+use crate::objects::{NativeObjects, Objects};
 use crate::settings::{self, Settings};
 use crate::targets::native_protocol::NativeTargetProtocol;
 use crate::targets::protocol::TargetProtocol;
@@ -35,10 +35,10 @@
     fn default() -> Self {
         Self {
             callers: Rc::new(NativeProtocol),
-            objects: Rc::new(OwnObjects),
+            objects: Rc::new(NativeObjects),
             settings: Settings::read,
             settings_file: None,
-            source: Rc::new(OwnSource),
+            source: Rc::new(NativeSource),
             targets: Rc::new(NativeTargetProtocol),
         }
     }
--- a/crates/lilaccrankd/src/reload.rs
+++ b/crates/lilaccrankd/src/reload.rs
@@ -14,17 +14,17 @@
 
 /// Time between two looks at the file. What may change in it concerns daemons that come and go,
 /// which members tell each other within seconds anyway.
-const EVERY: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Follows the settings file for as long as the daemon runs.
 pub async fn run(daemon: Rc<Daemon>, signals: Signals) {
     let mut seeds = daemon.cfg.seeds.clone();
     let mut reloads = 0;
     loop {
-        let asked = signals.reload(reloads);
-        let passed = monoio::time::sleep(EVERY);
-        pin_mut!(asked, passed);
-        let by_signal = match future::select(asked, passed).await {
+        let requested = signals.wait_for_reload(reloads);
+        let elapsed = monoio::time::sleep(POLL_INTERVAL);
+        pin_mut!(requested, elapsed);
+        let by_signal = match future::select(requested, elapsed).await {
             Either::Left((count, _)) => {
                 reloads = count;
                 true
--- a/crates/lilaccrankd/src/request/lifecycle.rs
+++ b/crates/lilaccrankd/src/request/lifecycle.rs
@@ -12,7 +12,7 @@
 use lilaccrank::rules::matching::Route;
 use lilaccrank::timeline::{EventKind, Subject};
 
-use crate::admin::metrics::Ended;
+use crate::admin::metrics::EndStats;
 use crate::callers::caller_request::{CallerRequest, Operation};
 use crate::callers::refusal::{Refusal, Result};
 use crate::daemon::Daemon;
@@ -65,7 +65,7 @@
     let total_ms = routed.elapsed_ms();
     daemon
         .metrics
-        .end(routed.end_stats(&daemon, &result, &buffer));
+        .record_end(routed.end_stats(&daemon, &result, &buffer));
     match result {
         Ok(()) => {
             let timing = buffer.timing();
@@ -77,7 +77,7 @@
                 total_ms = total_ms;
                 "answered"
             );
-            daemon.metrics.answer(routed.route.tier);
+            daemon.metrics.record_answer(routed.route.tier);
             buffer.finish(End::Complete);
         }
         Err(refusal) => {
@@ -92,7 +92,7 @@
                 why = refusal.message;
                 "ended without a whole answer"
             );
-            daemon.metrics.refuse(refusal.kind);
+            daemon.metrics.record_refusal(refusal.kind);
             buffer.finish(End::Failed(refusal));
         }
     }
@@ -131,18 +131,18 @@
     }
     if let Some(scoped) = scoped {
         if result.is_ok() {
-            daemon.answers.mark_ended(&scoped, buffer);
+            daemon.answer_cache.mark_ended(&scoped, buffer);
         } else {
-            daemon.answers.remove(&scoped, buffer);
+            daemon.answer_cache.remove(&scoped, buffer);
         }
     }
 }
 
 impl RoutedRequest {
     /// Token counts and outcome, for the metrics.
-    fn end_stats(&self, daemon: &Daemon, result: &Result<()>, buffer: &AnswerBuffer) -> Ended {
+    fn end_stats(&self, daemon: &Daemon, result: &Result<()>, buffer: &AnswerBuffer) -> EndStats {
         let tokens_in_event = daemon.tokens_in_event(&self.route.pool);
-        Ended {
+        EndStats {
             answer_tokens: buffer.timing().chunk_count.saturating_mul(tokens_in_event),
             kind: result.as_ref().err().map(|refusal| refusal.kind),
             prompt_tokens: self.caller.facts.prompt_tokens,
@@ -225,7 +225,7 @@
     ) -> (Result<()>, Option<KeyState>) {
         let mut history = SendHistory::new(self);
         let mut migration_grant = None;
-        daemon.second_sends.record_request(&self.route.pool);
+        daemon.retry_budgets.record_request(&self.route.pool);
         loop {
             let grant_result = match migration_grant.take() {
                 Some(grant) => Ok(grant),
@@ -373,7 +373,7 @@
         buffer: &AnswerBuffer,
     ) -> impl Future<Output = Refusal> {
         let (deadline, grace) = (self.deadline(), self.grace(daemon));
-        interruption::interrupted(buffer, deadline, grace, &daemon.cutting)
+        interruption::interrupted(buffer, deadline, grace, &daemon.abort_signal)
     }
 
     fn grace(&self, daemon: &Daemon) -> Duration {
--- a/crates/lilaccrankd/src/request/migration.rs
+++ b/crates/lilaccrankd/src/request/migration.rs
@@ -38,7 +38,7 @@
             else {
                 continue;
             };
-            if !observer.daemon.second_sends.has_budget(&self.route.pool) {
+            if !observer.daemon.retry_budgets.has_budget(&self.route.pool) {
                 continue;
             }
             let ask = self.migration_ask(observer, remaining, prior);
@@ -46,7 +46,7 @@
                 Ok(grant)
                     if observer
                         .daemon
-                        .second_sends
+                        .retry_budgets
                         .try_take(observer.daemon, &self.route.pool) =>
                 {
                     self.log_migration(observer, &grant, remaining);
--- a/crates/lilaccrankd/src/request/send.rs
+++ b/crates/lilaccrankd/src/request/send.rs
@@ -107,7 +107,7 @@
         };
         let address = target.address.clone();
         let client = daemon.client.clone();
-        let engine = EngineStream::new(client, address, self.id.clone(), daemon.patience());
+        let engine = EngineStream::new(client, address, self.id.clone(), daemon.silence_timeouts());
         let send_observer = SendObserver::new(self, daemon, grant, &Delivered::default());
         let interrupted = self.interrupted(daemon, buffer);
         engine_run::run(engine, req, buffer, &send_observer, interrupted).await
--- a/crates/lilaccrankd/src/request/send_history.rs
+++ b/crates/lilaccrankd/src/request/send_history.rs
@@ -103,7 +103,7 @@
         let will_retry = self.attempts.failed(failed.failure)
             && !failed.refusal.kind.is_from_outside()
             && (failed.failure == Failure::Unsent
-                || daemon.second_sends.try_take(daemon, &routed.route.pool));
+                || daemon.retry_budgets.try_take(daemon, &routed.route.pool));
         log::info!(
             again = will_retry,
             connection_lost = failed.refusal.connection_lost,
--- a/crates/lilaccrankd/src/serve.rs
+++ b/crates/lilaccrankd/src/serve.rs
@@ -114,11 +114,11 @@
         answer_peer(Rc::clone(&shared), req)
     }));
     let admin_closing = Closing::default();
-    let (shared, asked) = (Rc::clone(&daemon), signals.clone());
+    let (shared, admin_signals) = (Rc::clone(&daemon), signals.clone());
     monoio::spawn(server::serve(
         admin_listener,
         admin_closing.clone(),
-        move |req| admin::handle(Rc::clone(&shared), asked.clone(), req),
+        move |req| admin::handle(Rc::clone(&shared), admin_signals.clone(), req),
     ));
     if let Some(listener) = readiness_listener {
         let shared = Rc::clone(&daemon);
@@ -144,7 +144,7 @@
         version = env!("CARGO_PKG_VERSION");
         "started"
     );
-    signals.asked().await;
+    signals.wait_for_shutdown().await;
     shutdown::run(&daemon, [&closing, &admin_closing], &signals).await;
     Ok(())
 }
@@ -167,7 +167,7 @@
             daemon.duties.me(),
         );
         daemon
-            .second_sends
+            .retry_budgets
             .set_member_count(daemon.membership.live().members.len());
         pools::server::members_changed(&daemon);
         pools::client::resync_dispatchers(&daemon);
@@ -179,7 +179,7 @@
 async fn expire(daemon: Rc<Daemon>) {
     loop {
         monoio::time::sleep(EXPIRE_EVERY).await;
-        daemon.answers.expire();
+        daemon.answer_cache.expire();
     }
 }
 
@@ -187,7 +187,7 @@
     daemon.timeline.observe(&req.stamp);
     let message = match req.message {
         PeerRequest::Announcement(announcement) => {
-            configuration::announced(&daemon, announcement).into()
+            configuration::handle_announcement(&daemon, announcement).into()
         }
         PeerRequest::Configuration(ask) => exchange::answer(&daemon.adoption, &ask).into(),
         PeerRequest::Held(HeldConfigurationRequest) => HeldConfiguration {
--- a/crates/lilaccrankd/src/shutdown.rs
+++ b/crates/lilaccrankd/src/shutdown.rs
@@ -11,10 +11,10 @@
 use crate::signals::Signals;
 
 /// How often a shutdown looks whether it is done.
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Longest time to tell callers that their requests are cut.
-const TELL_LIMIT: Duration = Duration::from_secs(2);
+const ABORT_GRACE: Duration = Duration::from_secs(2);
 
 /// Takes nothing new and waits for what is in progress, within the limit or until a second
 /// signal comes. The servers are closed one after the other, the one for callers first.
@@ -29,40 +29,40 @@
     servers[0].wind_down();
     monoio::time::sleep(serving).await;
     daemon.refusing.set(true);
-    let done = finish(daemon, servers);
-    let cut = cut(daemon, signals);
-    pin_mut!(done, cut);
-    match future::select(done, cut).await {
+    let done = drain(daemon, servers);
+    let until_abort = until_abort(daemon, signals);
+    pin_mut!(done, until_abort);
+    match future::select(done, until_abort).await {
         Either::Left(_) => {
             daemon.record(EventKind::Drained, Subject::default());
             log::info!("ended with nothing cut");
         }
         Either::Right((_, done)) => {
             log::warn!("cutting {} requests", daemon.in_progress());
-            daemon.cutting.trigger();
+            daemon.abort_signal.trigger();
             // Their callers are told whether they ran, which a broken connection would not say.
-            let _ = monoio::time::timeout(TELL_LIMIT, done).await;
+            let _ = monoio::time::timeout(ABORT_GRACE, done).await;
         }
     }
 }
 
 /// Other daemons read held answers from the admin server for callers that repeated a key there.
 /// Ending while one is on its way would cut it at a caller that saw nothing of this shutdown.
-async fn finish(daemon: &Daemon, servers: [&Closing; 2]) {
+async fn drain(daemon: &Daemon, servers: [&Closing; 2]) {
     while daemon.in_progress() > 0 {
-        monoio::time::sleep(POLL).await;
+        monoio::time::sleep(POLL_INTERVAL).await;
     }
     for closing in servers {
         closing.close();
         while closing.connections() > 0 {
-            monoio::time::sleep(POLL).await;
+            monoio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-async fn cut(daemon: &Daemon, signals: &Signals) {
-    let over = monoio::time::sleep(Duration::from_millis(daemon.cfg.shutdown_limit_ms));
-    let again = signals.reached(2);
-    pin_mut!(over, again);
-    future::select(over, again).await;
+async fn until_abort(daemon: &Daemon, signals: &Signals) {
+    let timed_out = monoio::time::sleep(Duration::from_millis(daemon.cfg.shutdown_limit_ms));
+    let second_signal = signals.wait_for_count(2);
+    pin_mut!(timed_out, second_signal);
+    future::select(timed_out, second_signal).await;
 }
--- a/crates/lilaccrankd/src/signals.rs
+++ b/crates/lilaccrankd/src/signals.rs
@@ -21,7 +21,7 @@
 struct Shared {
     changed: Event,
     count: AtomicUsize,
-    ordered: AtomicBool,
+    shutdown_requested: AtomicBool,
     reloads: AtomicUsize,
 }
 
@@ -53,33 +53,33 @@
     /// It is no signal: an operator drains a daemon before its vm is replaced, and the
     /// platform's customary SIGTERM that follows would otherwise be the second one and cut the
     /// requests in progress.
-    pub fn order(&self) {
-        self.shared.ordered.store(true, Ordering::SeqCst);
+    pub fn request_shutdown(&self) {
+        self.shared.shutdown_requested.store(true, Ordering::SeqCst);
         self.shared.changed.notify(usize::MAX);
     }
 
     /// Completes once a graceful end is asked for.
-    pub async fn asked(&self) {
+    pub async fn wait_for_shutdown(&self) {
         let shared = &self.shared;
-        self.until(|| shared.ordered.load(Ordering::SeqCst) || shared.count() > 0)
+        self.wait_until(|| shared.shutdown_requested.load(Ordering::SeqCst) || shared.count() > 0)
             .await;
     }
 
     /// Completes once there were more requests to read the settings again than `seen`; returns
     /// how many there were.
-    pub async fn reload(&self, seen: usize) -> usize {
+    pub async fn wait_for_reload(&self, seen: usize) -> usize {
         let shared = &self.shared;
         let reloads = || shared.reloads.load(Ordering::SeqCst);
-        self.until(|| reloads() > seen).await;
+        self.wait_until(|| reloads() > seen).await;
         reloads()
     }
 
     /// Completes once `n` signals have come.
-    pub async fn reached(&self, n: usize) {
-        self.until(|| self.shared.count() >= n).await;
+    pub async fn wait_for_count(&self, n: usize) {
+        self.wait_until(|| self.shared.count() >= n).await;
     }
 
-    async fn until(&self, holds: impl Fn() -> bool) {
+    async fn wait_until(&self, holds: impl Fn() -> bool) {
         loop {
             let listener = self.shared.changed.listen();
             if holds() {
--- a/crates/lilaccrankd/src/targets/live_list.rs
+++ b/crates/lilaccrankd/src/targets/live_list.rs
@@ -203,7 +203,7 @@
 
 /// Takes over a list that the daemon was told.
 pub fn apply_listing(daemon: &Rc<Daemon>, listing: Listing) {
-    let may_lapse = daemon.heard.may_lapse(MonoioClock.boot());
+    let may_lapse = daemon.platform_contact.may_lapse(MonoioClock.boot());
     let previous = daemon.live_list.listing();
     if !daemon.live_list.update(listing, may_lapse) {
         return;
@@ -226,7 +226,7 @@
 
 async fn wait_for_lapsed(daemon: Rc<Daemon>) {
     // Other daemons' words may tell of a later end of the silence than this one's own.
-    while daemon.heard.may_lapse(MonoioClock.boot()) {
+    while daemon.platform_contact.may_lapse(MonoioClock.boot()) {
         monoio::time::sleep(LAPSED_POLL_INTERVAL).await;
     }
     if daemon.live_list.forget_lapsed() {
--- a/crates/lilaccrankd/tests/suite.rs
+++ b/crates/lilaccrankd/tests/suite.rs
@@ -3,11 +3,11 @@
 
 #[path = "suite/changes.rs"]
 mod changes;
-#[path = "suite/heard.rs"]
-mod heard;
 #[path = "suite/listing.rs"]
 mod listing;
 #[path = "suite/load_message.rs"]
 mod load_message;
-#[path = "suite/stale_spread.rs"]
-mod stale_spread;
+#[path = "suite/platform_contact.rs"]
+mod platform_contact;
+#[path = "suite/stale_jitter.rs"]
+mod stale_jitter;
--- /dev/null
+++ b/crates/lilaccrankd/tests/suite/platform_contact.rs
@@ -0,0 +1,96 @@
+//! When the platform was last heard.
+
+use std::time::Duration;
+
+use lilaccrankd::configuration::platform_contact::PlatformContact;
+
+fn at(seconds: u64) -> Duration {
+    Duration::from_secs(seconds)
+}
+
+// A daemon hears of configurations, and nothing of targets: half of the platform is silent, which
+// counts as silence.
+#[test]
+fn the_older_contact_counts() {
+    let contact = PlatformContact::default();
+    assert_eq!(contact.age(at(10)), None);
+    contact.record_configuration(at(9));
+    assert_eq!(contact.age(at(10)), None);
+    contact.record_list(at(4));
+    assert_eq!(contact.age(at(10)), Some(at(6)));
+    assert_eq!(contact.list_age(at(10)), Some(at(6)));
+}
+
+// A peer tells of times before the daemon's own last word; nothing gets older by that.
+#[test]
+fn an_older_contact_changes_nothing() {
+    let contact = PlatformContact::default();
+    contact.record_configuration(at(9));
+    contact.record_list(at(9));
+    contact.record_peer(at(3));
+    assert_eq!(contact.age(at(10)), Some(at(1)));
+    contact.record_peer(at(10));
+    assert_eq!(contact.age(at(10)), Some(at(0)));
+}
+
+// What a peer told is no word of the platform to this daemon: asked by others, it must not pass
+// for one that hears the platform itself.
+#[test]
+fn a_contact_through_a_peer_is_not_direct() {
+    let contact = PlatformContact::default();
+    contact.record_peer(at(9));
+    contact.record_watcher(at(8));
+    assert_eq!(contact.direct_age(at(10)), None);
+    assert_eq!(contact.watcher_age(at(10)), Some(at(2)));
+}
+
+/// Seconds between two words about the list, seconds from then on, and whether entries may have
+/// lapsed.
+macro_rules! lapse_test {
+    ($name:ident, $silence:literal, $since:literal, $may:literal) => {
+        #[test]
+        fn $name() {
+            let contact = PlatformContact::default();
+            contact.record_list(at(10));
+            contact.record_list(at(10 + $silence));
+            assert_eq!(contact.may_lapse(at(10 + $silence + $since)), $may);
+        }
+    };
+}
+
+lapse_test!(after_a_short_silence, 2, 0, false);
+lapse_test!(just_after_a_long_silence, 5, 0, true);
+lapse_test!(soon_after_a_long_silence, 5, 2, true);
+lapse_test!(in_a_long_silence, 1, 3, true);
+
+#[test]
+fn after_the_recovery_time_missing_targets_have_gone() {
+    let contact = PlatformContact::default();
+    contact.record_list(at(10));
+    contact.record_list(at(15));
+    contact.record_list(at(16));
+    contact.record_list(at(18));
+    assert!(!contact.may_lapse(at(18)));
+}
+
+// The platform turns this daemon away and tells others; it hears from these. For it nothing was
+// silent, and what is missing has gone.
+#[test]
+fn a_contact_through_a_peer_is_no_silence() {
+    let contact = PlatformContact::default();
+    contact.record_list(at(10));
+    for second in 11..18 {
+        contact.record_peer(at(second));
+    }
+    contact.record_list(at(18));
+    assert!(!contact.may_lapse(at(18)));
+}
+
+// A daemon that has just started has not heard silence, only nothing yet.
+#[test]
+fn a_start_is_no_silence() {
+    let contact = PlatformContact::default();
+    assert!(!contact.may_lapse(at(10)));
+    contact.record_list(at(10));
+    assert!(!contact.may_lapse(at(10)));
+}
