--- a/crates/lilaccrank-cli/src/api.rs
+++ b/crates/lilaccrank-cli/src/api.rs
@@ -4,7 +4,7 @@
 
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, HOST, HeaderName, HeaderValue};
 use hyper::{Method, Request, StatusCode};
-use lilaccrank::error_kind::Ran;
+use lilaccrank::error_kind::Executed;
 use lilaccrank::operators::Failure;
 use lilaccrank::operators::failure::Envelope;
 use lilaccrank_http::body::{self, Body};
@@ -39,7 +39,7 @@
 struct Refusal {
     kind: String,
     message: String,
-    ran: Ran,
+    ran: Executed,
 }
 
 impl Api {
--- a/crates/lilaccrank-cli/src/error.rs
+++ b/crates/lilaccrank-cli/src/error.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::path::PathBuf;
 
-use lilaccrank::error_kind::Ran;
+use lilaccrank::error_kind::Executed;
 use lilaccrank::operators::Failure;
 use lilaccrank::rules::problem::Problem;
 use serde::Serialize;
@@ -102,7 +102,7 @@
         /// What can be done about it.
         message: String,
         /// Whether a target may have run it.
-        ran: Ran,
+        ran: Executed,
     },
     /// No daemon took the call.
     #[error("can't reach {address}: {why}")]
@@ -152,11 +152,15 @@
             Self::Document { .. } => 1,
             Self::NoKey | Self::Usage(_) => 2,
             Self::Partial(_) | Self::Unreachable { .. } => 3,
-            Self::NoSuch { .. } | Self::Refused { ran: Ran::No, .. } => 4,
+            Self::NoSuch { .. }
+            | Self::Refused {
+                ran: Executed::No, ..
+            } => 4,
             Self::Broken { .. }
             | Self::Outcome { .. }
             | Self::Refused {
-                ran: Ran::Maybe, ..
+                ran: Executed::Maybe,
+                ..
             } => 6,
             Self::NotEnded { .. } | Self::NotEverywhere { .. } => 7,
             Self::Editor { .. } | Self::File { .. } | Self::Local(_) => 8,
--- a/crates/lilaccrank-cli/src/explain.rs
+++ b/crates/lilaccrank-cli/src/explain.rs
@@ -127,7 +127,7 @@
     }
 
     fn facts(&self, document: &Document) -> Result<Facts> {
-        let tier_wish = match &self.tier {
+        let requested_tier = match &self.tier {
             None => None,
             Some(name) => Some(document.tier(name).ok_or_else(|| Error::NoSuch {
                 hint: "see `tiers` in `lilaccrank rules show`",
@@ -147,7 +147,7 @@
             model: self.model.clone(),
             path: self.path.clone(),
             prompt_tokens: self.prompt_tokens,
-            tier_wish,
+            requested_tier,
             ..Facts::default()
         })
     }
--- a/crates/lilaccrank-cli/src/publication.rs
+++ b/crates/lilaccrank-cli/src/publication.rs
@@ -99,8 +99,8 @@
         }
         cx.output.print(&published, |published| {
             let mut lines = vec![format!("published {}", published.identity)];
-            if !self.wait && !published.unheard.is_empty() {
-                let names = published.unheard.join(", ");
+            if !self.wait && !published.unresponsive.is_empty() {
+                let names = published.unresponsive.join(", ");
                 lines.push(format!("not heard from: {names}"));
             }
             lines
--- a/crates/lilaccrank-http/src/monoio_clock.rs
+++ b/crates/lilaccrank-http/src/monoio_clock.rs
@@ -10,7 +10,7 @@
 pub struct MonoioClock;
 
 impl Clock for MonoioClock {
-    fn boot(&self) -> BootTime {
+    fn boot_time(&self) -> BootTime {
         let at = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
         Duration::new(
             u64::try_from(at.tv_sec).unwrap_or_default(),
@@ -26,7 +26,7 @@
         monoio::time::sleep(duration)
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         SystemTime::now()
     }
 }
--- a/crates/lilaccrank-lab/src/bench/bound.rs
+++ b/crates/lilaccrank-lab/src/bench/bound.rs
@@ -60,7 +60,7 @@
         for planned in plan {
             let digests = prompt::prefix_digests(&planned.call.prompt);
             let known = digests.iter().filter(|d| !read.insert(**d)).count();
-            let tokens = u64::from(prompt::tokens(&planned.call.prompt));
+            let tokens = u64::from(prompt::estimate_tokens(&planned.call.prompt));
             let left = tokens - (known * prompt::BLOCK_TOKENS) as u64;
             prefill_tokens += left.max(1);
             costs.push(Cost {
--- a/crates/lilaccrank-lab/src/engine/serving.rs
+++ b/crates/lilaccrank-lab/src/engine/serving.rs
@@ -131,7 +131,7 @@
             .insert(RETRY_AFTER, DRAINING_RETRY_S.into());
         return Err(Box::new(res));
     }
-    let prompt_tokens = prompt::tokens(&completion.prompt).max(1);
+    let prompt_tokens = prompt::estimate_tokens(&completion.prompt).max(1);
     let stream = Rc::new(Stream::new(Origin {
         break_after: engine.faults.break_after.take(),
         max_tokens: completion.max_tokens,
--- a/crates/lilaccrank/benches/decision.rs
+++ b/crates/lilaccrank/benches/decision.rs
@@ -46,7 +46,7 @@
         entry: "vm2".to_owned(),
         entry_incarnation: 1,
         max_tokens: 100,
-        prefix: prompt::digests(&prompt, BLOCK_TOKENS as usize),
+        prefix: prompt::block_prefix_digests(&prompt, BLOCK_TOKENS as usize),
         prompt_tokens: 1100,
         request: format!("r{i}"),
         tier: (i % TIERS) as u8,
--- a/crates/lilaccrank/src/advisories.rs
+++ b/crates/lilaccrank/src/advisories.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::ContentDigest;
-use crate::target_life::LifeDigest;
+use crate::target_instance::InstanceDigest;
 
 pub mod recent;
 pub mod record;
@@ -44,7 +44,7 @@
         /// The content.
         content: ContentDigest,
         /// The target.
-        target: LifeDigest,
+        target: InstanceDigest,
     },
     /// A target answered a request with this content completely.
     #[serde(rename = "d")]
@@ -64,7 +64,7 @@
         /// Requests in 1,000 seconds; `None` if there is no limit any more.
         per_1000_s: Option<u32>,
         /// The target.
-        target: LifeDigest,
+        target: InstanceDigest,
     },
 }
 
@@ -88,9 +88,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Key {
     Completed(ContentDigest),
-    Crash(ContentDigest, LifeDigest),
+    Crash(ContentDigest, InstanceDigest),
     Quarantined(ContentDigest),
-    RateLimit(LifeDigest),
+    RateLimit(InstanceDigest),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -230,7 +230,7 @@
     }
 
     /// Advertised rate limits that hold, in requests per second.
-    pub fn rate_limits(&self, now: Instant) -> impl Iterator<Item = (LifeDigest, f64)> {
+    pub fn rate_limits(&self, now: Instant) -> impl Iterator<Item = (InstanceDigest, f64)> {
         let current = self.facts.values();
         let current = current.filter(move |record| record.is_current(now));
         current.filter_map(|record| match record.fact {
--- a/crates/lilaccrank/src/attempts.rs
+++ b/crates/lilaccrank/src/attempts.rs
@@ -6,7 +6,7 @@
 
 /// Sends in vain, to targets that did not run the request, that one request may cost beside its
 /// runs. A third target that refuses as well says that the pool is full.
-const SENDS_IN_VAIN: u32 = 2;
+const MAX_UNEXECUTED_RETRIES: u32 = 2;
 
 /// How a send ended without a whole answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -31,53 +31,55 @@
 
 /// What a request allows.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Allowed {
+pub struct RetryPolicy {
     /// It may run more than once.
     pub idempotent: bool,
     /// Another target may go on after the last event.
     pub resumable: bool,
     /// Targets that it may run on.
-    pub runs: u32,
+    pub max_runs: u32,
 }
 
 /// The sends of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
-    allowed: Allowed,
-    in_vain: u32,
+    policy: RetryPolicy,
+    unexecuted: u32,
     runs: u32,
 }
 
 impl Attempts {
     /// A request that was not sent yet.
     #[must_use]
-    pub fn new(allowed: Allowed) -> Self {
+    pub fn new(policy: RetryPolicy) -> Self {
         Self {
-            allowed,
-            in_vain: 0,
+            policy,
+            unexecuted: 0,
             runs: 0,
         }
     }
 
     /// Notes how a send ended; whether there may be another one.
-    pub fn failed(&mut self, failure: Failure) -> bool {
+    pub fn record_failure(&mut self, failure: Failure) -> bool {
         if failure.is_not_run() {
-            self.in_vain += 1;
+            self.unexecuted += 1;
         } else {
             self.runs += 1;
         }
-        let may_run = self.runs < self.allowed.runs.max(1);
+        let may_run = self.runs < self.policy.max_runs.max(1);
         match failure {
-            Failure::BrokenOff => self.allowed.resumable && may_run,
-            Failure::Failed => self.allowed.idempotent && may_run,
-            Failure::NotRun | Failure::Unsent => self.in_vain <= SENDS_IN_VAIN && may_run,
+            Failure::BrokenOff => self.policy.resumable && may_run,
+            Failure::Failed => self.policy.idempotent && may_run,
+            Failure::NotRun | Failure::Unsent => {
+                self.unexecuted <= MAX_UNEXECUTED_RETRIES && may_run
+            }
         }
     }
 
     /// Whether it was sent before.
     #[must_use]
     pub fn is_repeat(&self) -> bool {
-        self.in_vain + self.runs > 0
+        self.unexecuted + self.runs > 0
     }
 
     /// Whether a target ran it, or may have.
--- a/crates/lilaccrank/src/backoff.rs
+++ b/crates/lilaccrank/src/backoff.rs
@@ -42,10 +42,10 @@
 /// A duration drawn evenly from zero to `ceiling`.
 #[must_use]
 pub fn full_jitter(ceiling: Duration) -> Duration {
-    full_jitter_by(&mut rand::rng(), ceiling)
+    full_jitter_with(&mut rand::rng(), ceiling)
 }
 
 /// A duration drawn by `rng` evenly from zero to `ceiling`.
-pub fn full_jitter_by(rng: &mut impl Rng, ceiling: Duration) -> Duration {
+pub fn full_jitter_with(rng: &mut impl Rng, ceiling: Duration) -> Duration {
     ceiling.mul_f64(rng.random::<f64>())
 }
--- a/crates/lilaccrank/src/cells.rs
+++ b/crates/lilaccrank/src/cells.rs
@@ -19,14 +19,14 @@
 
 /// Daemons of a cell at least; below twice as many a fleet is not divided. Some ten daemons on as
 /// many targets tell each other some 300 datagrams a second each, at ten requests a second each.
-const LEAST_DAEMONS: usize = 8;
+const MIN_DAEMONS: usize = 8;
 /// Targets of a cell at least: with fewer, one that fails or is slow is too large a part of what a
 /// cell can do. A pool with fewer is divided less.
-const LEAST_TARGETS: usize = 6;
+const MIN_TARGETS: usize = 6;
 /// The duty to speak for a cell.
-const SPEAKER: &str = "cell/speaker";
+const REPRESENTATIVE_KEY: &str = "cell/speaker";
 /// What daemons and targets are ordered by.
-const ORDER: &str = "cell";
+const HASH_KEY: &str = "cell";
 
 /// Names a cell among those of its fleet.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
@@ -44,7 +44,7 @@
     /// and what is known of their targets stays of use.
     count: usize,
     index: usize,
-    mates: IndexSet<VmId>,
+    peers: IndexSet<VmId>,
 }
 
 impl Cell {
@@ -53,8 +53,8 @@
     pub fn new<'a>(members: impl IntoIterator<Item = &'a VmId>, me: &VmId) -> Self {
         let mut ordered: IndexSet<&VmId> = members.into_iter().collect();
         ordered.insert(me);
-        ordered.sort_by_cached_key(|vm| (rendezvous::weight(ORDER, vm), (*vm).clone()));
-        let count = most_parts(ordered.len(), LEAST_DAEMONS);
+        ordered.sort_by_cached_key(|vm| (rendezvous::weight(HASH_KEY, vm), (*vm).clone()));
+        let count = max_partitions(ordered.len(), MIN_DAEMONS);
         let cell_of = |at: usize| at * count / ordered.len();
         let index = ordered.get_index_of(me).map_or(0, cell_of);
         let in_cell = ordered.iter().enumerate();
@@ -62,7 +62,7 @@
         Self {
             count,
             index,
-            mates: in_cell.map(|(_, vm)| (*vm).clone()).collect(),
+            peers: in_cell.map(|(_, vm)| (*vm).clone()).collect(),
         }
     }
 
@@ -81,50 +81,51 @@
 
     /// The daemon that speaks for the cell of `me`.
     #[must_use]
-    pub fn speaker<'a>(&'a self, me: &'a VmId) -> &'a VmId {
-        let members = self.mates.iter().chain([me]);
-        rendezvous::owner(SPEAKER, members).unwrap_or(me)
+    pub fn representative<'a>(&'a self, me: &'a VmId) -> &'a VmId {
+        let members = self.peers.iter().chain([me]);
+        rendezvous::owner(REPRESENTATIVE_KEY, members).unwrap_or(me)
     }
 
     /// The other daemons of the cell.
     #[must_use]
-    pub fn mates(&self) -> &IndexSet<VmId> {
-        &self.mates
+    pub fn peers(&self) -> &IndexSet<VmId> {
+        &self.peers
     }
 
     /// The cells that send to the same part of a pool with so many targets, itself included.
     #[must_use]
-    pub fn sharers(&self, targets: usize) -> Vec<CellId> {
-        let parts = self.parts(targets);
-        let own = self.part(self.index, parts);
-        let indexes = (0..self.count.max(1)).filter(|index| self.part(*index, parts) == own);
+    pub fn cells_sharing_targets(&self, targets: usize) -> Vec<CellId> {
+        let partitions = self.partitions(targets);
+        let own = self.partition(self.index, partitions);
+        let indexes =
+            (0..self.count.max(1)).filter(|index| self.partition(*index, partitions) == own);
         indexes.map(|index| self.id_of(index)).collect()
     }
 
     /// Parts into which a pool with so many targets falls.
-    fn parts(&self, targets: usize) -> usize {
-        most_parts(targets, LEAST_TARGETS).min(self.count)
+    fn partitions(&self, targets: usize) -> usize {
+        max_partitions(targets, MIN_TARGETS).min(self.count)
     }
 
     /// Part of a pool that a cell has.
-    fn part(&self, index: usize, parts: usize) -> usize {
-        index * parts / self.count.max(1)
+    fn partition(&self, index: usize, partitions: usize) -> usize {
+        index * partitions / self.count.max(1)
     }
 
     /// Keeps the targets of the cell, of all targets of one pool.
-    pub fn keep_targets(&self, targets: &mut Vec<Target>) {
-        let parts = self.parts(targets.len());
-        if parts < 2 {
+    pub fn retain_targets(&self, targets: &mut Vec<Target>) {
+        let partitions = self.partitions(targets.len());
+        if partitions < 2 {
             return;
         }
-        let own = self.part(self.index, parts);
+        let own = self.partition(self.index, partitions);
         let all = targets.len();
-        targets.sort_by_cached_key(|t| (rendezvous::weight(ORDER, &t.id), t.id.clone()));
+        targets.sort_by_cached_key(|t| (rendezvous::weight(HASH_KEY, &t.id), t.id.clone()));
         let mut at = 0;
         targets.retain(|_| {
-            let part = at * parts / all;
+            let partition = at * partitions / all;
             at += 1;
-            part == own
+            partition == own
         });
     }
 }
@@ -134,11 +135,11 @@
 /// Of targets that are as good the first ones are taken. After a restart of all daemons none has heard
 /// of another's requests yet, and all targets look idle to each: in one order for all they would send
 /// their first thousand requests to the same few targets, which turn one in three away.
-pub fn spread(targets: &mut [Target], me: &VmId) {
+pub fn sort_by_daemon_hash(targets: &mut [Target], me: &VmId) {
     targets.sort_by_cached_key(|target| (rendezvous::weight(me, &target.id), target.id.clone()));
 }
 
 /// The highest power of two of parts that have `least` of `all` each.
-fn most_parts(all: usize, least: usize) -> usize {
-    (all / least).checked_ilog2().map_or(1, |log| 1 << log)
+fn max_partitions(all: usize, min_size: usize) -> usize {
+    (all / min_size).checked_ilog2().map_or(1, |log| 1 << log)
 }
--- a/crates/lilaccrank/src/circuit.rs
+++ b/crates/lilaccrank/src/circuit_breaker.rs
@@ -32,11 +32,11 @@
     /// Share of failed calls at which it opens.
     pub failure_rate: f64,
     /// Ceiling of the first wait; the ceiling doubles with each failed trial.
-    pub first_wait: Duration,
+    pub initial_wait: Duration,
     /// Highest ceiling.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
     /// Fewest calls in the window that say anything.
-    pub least_calls: u32,
+    pub min_calls: u32,
     /// Failures and successes count for this long.
     pub window: Duration,
 }
@@ -45,9 +45,9 @@
     fn default() -> Self {
         Self {
             failure_rate: 0.5,
-            first_wait: Duration::from_secs(1),
-            longest_wait: Duration::from_secs(8),
-            least_calls: 4,
+            initial_wait: Duration::from_secs(1),
+            max_wait: Duration::from_secs(8),
+            min_calls: 4,
             window: Duration::from_secs(10),
         }
     }
@@ -55,7 +55,7 @@
 
 /// A circuit before one destination; clones share it.
 #[derive(Clone)]
-pub struct Circuit<C> {
+pub struct CircuitBreaker<C> {
     clock: C,
     inner: Rc<RefCell<Inner>>,
 }
@@ -79,8 +79,8 @@
 /// Leave for one call. Its outcome has to be told; dropped without one it counts for nothing.
 #[must_use]
 pub struct Permit<C: Clock> {
-    circuit: Circuit<C>,
-    told: bool,
+    circuit: CircuitBreaker<C>,
+    reported: bool,
     trial: bool,
 }
 
@@ -96,16 +96,16 @@
 }
 
 /// Outcomes kept at most; more would only make the rate finer.
-const OUTCOMES_KEPT: usize = 256;
+const MAX_OUTCOMES: usize = 256;
 
 /// Time after which a caller may ask again while a trial is under way.
-const TRIAL_WAIT: Duration = Duration::from_millis(200);
+const TRIAL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-impl<C: Clock> Circuit<C> {
+impl<C: Clock> CircuitBreaker<C> {
     /// A closed circuit.
     pub fn new(cfg: Settings, clock: C) -> Self {
         let inner = Inner {
-            backoff: Backoff::new(cfg.first_wait, cfg.longest_wait),
+            backoff: Backoff::new(cfg.initial_wait, cfg.max_wait),
             state: State::Closed,
             window: Window {
                 length: cfg.window,
@@ -127,7 +127,7 @@
             State::Closed => false,
             State::HalfOpen => {
                 return Err(Error {
-                    retry_after: TRIAL_WAIT,
+                    retry_after: TRIAL_RETRY_AFTER,
                 });
             }
             State::Open { until } if now < until => {
@@ -142,15 +142,15 @@
         };
         Ok(Permit {
             circuit: self.clone(),
-            told: false,
+            reported: false,
             trial,
         })
     }
 }
 
 impl Inner {
-    fn open(&mut self, now: Instant, least: Duration) {
-        let until = now + least + self.backoff.next_wait();
+    fn open(&mut self, now: Instant, min_wait: Duration) {
+        let until = now + min_wait + self.backoff.next_wait();
         self.state = State::Open { until };
         self.window.outcomes.clear();
     }
@@ -160,10 +160,10 @@
         self.backoff.reset();
     }
 
-    fn fails_too_often(&self) -> bool {
+    fn exceeds_failure_rate(&self) -> bool {
         let outcomes = &self.window.outcomes;
         let failures = outcomes.iter().filter(|outcome| outcome.failed).count();
-        outcomes.len() >= self.cfg.least_calls as usize
+        outcomes.len() >= self.cfg.min_calls as usize
             && failures as f64 >= self.cfg.failure_rate * outcomes.len() as f64
     }
 }
@@ -172,7 +172,7 @@
     fn push(&mut self, at: Instant, failed: bool) {
         let length = self.length;
         self.outcomes.push_back(Outcome { at, failed });
-        let full = self.outcomes.len() > OUTCOMES_KEPT;
+        let full = self.outcomes.len() > MAX_OUTCOMES;
         if full {
             self.outcomes.pop_front();
         }
@@ -186,17 +186,17 @@
 
 impl<C: Clock> Permit<C> {
     /// The call failed; the circuit stays open for at least `least` if it opens.
-    pub fn failed(mut self, least: Duration) {
-        self.told = true;
+    pub fn failed(mut self, min_wait: Duration) {
+        self.reported = true;
         let now = self.circuit.clock.now();
         let mut inner = self.circuit.inner.borrow_mut();
         if self.trial {
-            return inner.open(now, least);
+            return inner.open(now, min_wait);
         }
         inner.window.push(now, true);
         let closed = matches!(inner.state, State::Closed);
-        if closed && inner.fails_too_often() {
-            inner.open(now, least);
+        if closed && inner.exceeds_failure_rate() {
+            inner.open(now, min_wait);
         }
     }
 
@@ -208,7 +208,7 @@
 
     /// The destination answered.
     pub fn succeeded(mut self) {
-        self.told = true;
+        self.reported = true;
         let now = self.circuit.clock.now();
         let mut inner = self.circuit.inner.borrow_mut();
         inner.window.push(now, false);
@@ -222,7 +222,7 @@
     /// A trial whose caller went away tells nothing. If it kept the circuit half open, no call
     /// would ever be let through again; the next caller makes the trial instead.
     fn drop(&mut self) {
-        if self.trial && !self.told {
+        if self.trial && !self.reported {
             let until = self.circuit.clock.now();
             self.circuit.inner.borrow_mut().state = State::Open { until };
         }
--- a/crates/lilaccrank/src/clock.rs
+++ b/crates/lilaccrank/src/clock.rs
@@ -10,7 +10,7 @@
 /// A source of time and of timers.
 pub trait Clock: Clone + 'static {
     /// Time since the machine started, times of suspension included.
-    fn boot(&self) -> BootTime;
+    fn boot_time(&self) -> BootTime;
 
     /// Monotonic time of this process.
     fn now(&self) -> Instant;
@@ -19,7 +19,7 @@
     fn sleep(&self, duration: Duration) -> impl Future<Output = ()> + 'static;
 
     /// Wall time, for records that other processes read.
-    fn wall(&self) -> SystemTime;
+    fn wall_time(&self) -> SystemTime;
 }
 
 /// Runs `fut` for at most `limit`; `None` if the time is up first.
--- a/crates/lilaccrank/src/configuration/watcher.rs
+++ b/crates/lilaccrank/src/configuration/watcher.rs
@@ -109,7 +109,7 @@
 ) -> Result<Option<Version>> {
     // A connection that went silent never ends the watch; the configuration would stand still
     // without any error. The bound lies on this side, so it ends whatever the network does.
-    let asked = clock.boot();
+    let asked = clock.boot_time();
     let watch = store.watch(super::manifest::KEY, seen, timing.watch);
     let found = clock::timeout(clock, timing.watch + WATCH_GRACE, watch).await;
     let found = found.unwrap_or(Err(store::Error::Unknown));
--- a/crates/lilaccrank/src/dispatch.rs
+++ b/crates/lilaccrank/src/dispatch.rs
@@ -14,7 +14,7 @@
 use crate::document::Pool;
 use crate::error_kind::ErrorKind;
 use crate::ids::{DataCentre, Incarnation, RequestId, Tier, VmId};
-use crate::target_life::{LifeDigest, TargetLife};
+use crate::target_instance::{InstanceDigest, TargetInstance};
 
 mod admission;
 pub mod affinity;
@@ -151,19 +151,19 @@
     }
 
     /// Sets the cell's shares of the rates that targets advertise; all other targets have no limit.
-    pub fn set_rate_limits(&self, shares: &IndexMap<LifeDigest, Share>) {
+    pub fn set_rate_limits(&self, shares: &IndexMap<InstanceDigest, Share>) {
         let now = self.clock.now();
         self.state.borrow_mut().set_rate_limits(shares, now);
     }
 
     /// Takes in a target's own report of its load.
-    pub fn load_report(&self, target: &TargetLife, report: LoadReport) {
+    pub fn load_report(&self, target: &TargetInstance, report: LoadReport) {
         let now = self.clock.now();
         self.state.borrow_mut().load_report(target, report, now);
     }
 
     /// Takes in a batch of cache events; `sequence` numbers the batches of one target.
-    pub fn cache_events(&self, target: &TargetLife, sequence: u64, events: &[CacheEvent]) {
+    pub fn cache_events(&self, target: &TargetInstance, sequence: u64, events: &[CacheEvent]) {
         let mut state = self.state.borrow_mut();
         state.cache_events(target, sequence, events);
     }
--- a/crates/lilaccrank/src/dispatch/admission.rs
+++ b/crates/lilaccrank/src/dispatch/admission.rs
@@ -25,7 +25,7 @@
     pub(super) fn ask(&mut self, mut ask: Ask, now: Instant) -> Admission {
         ask.exclusions.truncate(EXCLUSIONS_LIMIT);
         self.tiers.note(ask.tier, ask.objective, now);
-        ask.prefix.truncate(prompt::BLOCK_LIMIT);
+        ask.prefix.truncate(prompt::MAX_BLOCKS);
         let waiting = self
             .waiting
             .get(&ask.request)
--- a/crates/lilaccrank/src/dispatch/affinity.rs
+++ b/crates/lilaccrank/src/dispatch/affinity.rs
@@ -11,7 +11,7 @@
 
 use super::message::CacheEvent;
 use crate::prompt;
-use crate::target_life::TargetLife;
+use crate::target_instance::TargetInstance;
 
 /// Most blocks believed of one target.
 const TARGET_BLOCKS: usize = 4096;
@@ -29,7 +29,7 @@
     largest_batch: usize,
     sequence: Option<u64>,
     stamps: IndexMap<u64, u64>,
-    target: TargetLife,
+    target: TargetInstance,
 }
 
 /// A target that probably holds the beginning of a prefix.
@@ -38,7 +38,7 @@
     /// Blocks that it holds.
     pub blocks: usize,
     /// The target.
-    pub target: &'a TargetLife,
+    pub target: &'a TargetInstance,
 }
 
 /// Beliefs about all targets of a pool.
@@ -47,23 +47,23 @@
     beliefs: IndexMap<Number, Belief>,
     holders: IndexMap<u64, Vec<Number>>,
     next: Number,
-    numbers: IndexMap<TargetLife, Number>,
+    numbers: IndexMap<TargetInstance, Number>,
     stamp: u64,
 }
 
 impl Affinity {
     /// A request with this prefix was sent to a target.
-    pub fn sent(&mut self, target: &TargetLife, prefix: &[u64]) {
+    pub fn sent(&mut self, target: &TargetInstance, prefix: &[u64]) {
         let number = self.number(target);
         // The last block is stamped first: a prefix without its beginning has no use, so the
         // beginning has to be evicted last.
-        for digest in prefix.iter().take(prompt::BLOCK_LIMIT).rev() {
+        for digest in prefix.iter().take(prompt::MAX_BLOCKS).rev() {
             self.store(number, *digest);
         }
     }
 
     /// Takes in cache events; `sequence` numbers the batches of one target without gaps.
-    pub fn events(&mut self, target: &TargetLife, sequence: u64, events: &[CacheEvent]) {
+    pub fn events(&mut self, target: &TargetInstance, sequence: u64, events: &[CacheEvent]) {
         let number = self.number(target);
         let Some(belief) = self.beliefs.get_mut(&number) else {
             return;
@@ -88,7 +88,7 @@
     }
 
     /// Forgets a target.
-    pub fn forget(&mut self, target: &TargetLife) {
+    pub fn forget(&mut self, target: &TargetInstance) {
         if let Some(number) = self.numbers.swap_remove(target) {
             self.clear(number);
             self.beliefs.swap_remove(&number);
@@ -97,12 +97,12 @@
 
     /// Blocks from the start of the prefix that the target probably holds.
     #[must_use]
-    pub fn held(&self, target: &TargetLife, prefix: &[u64]) -> usize {
+    pub fn held(&self, target: &TargetInstance, prefix: &[u64]) -> usize {
         let Some(belief) = self.belief(target) else {
             return 0;
         };
         // Blocks are evicted from the end of a chain, so that the held ones form a beginning.
-        let prefix = &prefix[..prefix.len().min(prompt::BLOCK_LIMIT)];
+        let prefix = &prefix[..prefix.len().min(prompt::MAX_BLOCKS)];
         prefix.partition_point(|digest| belief.stamps.contains_key(digest))
     }
 
@@ -110,7 +110,7 @@
     #[must_use]
     pub fn holders(&self, prefix: &[u64], limit: usize) -> Vec<Holder<'_>> {
         let mut found: Vec<(Number, usize)> = Vec::new();
-        for (i, digest) in prefix.iter().take(prompt::BLOCK_LIMIT).enumerate().rev() {
+        for (i, digest) in prefix.iter().take(prompt::MAX_BLOCKS).enumerate().rev() {
             let numbers = self.holders.get(digest).map_or(&[][..], Vec::as_slice);
             // Who holds a longer beginning holds this one, so the same count is the same targets.
             if numbers.len() == found.len() {
@@ -134,15 +134,15 @@
 
     /// Blocks believed of a target.
     #[must_use]
-    pub fn blocks(&self, target: &TargetLife) -> usize {
+    pub fn blocks(&self, target: &TargetInstance) -> usize {
         self.belief(target).map_or(0, |belief| belief.stamps.len())
     }
 
-    fn belief(&self, target: &TargetLife) -> Option<&Belief> {
+    fn belief(&self, target: &TargetInstance) -> Option<&Belief> {
         self.beliefs.get(self.numbers.get(target)?)
     }
 
-    fn number(&mut self, target: &TargetLife) -> Number {
+    fn number(&mut self, target: &TargetInstance) -> Number {
         if let Some(number) = self.numbers.get(target) {
             return *number;
         }
--- a/crates/lilaccrank/src/dispatch/choice.rs
+++ b/crates/lilaccrank/src/dispatch/choice.rs
@@ -11,7 +11,7 @@
 use super::target::Target;
 use super::work::Work;
 use crate::ids::{DataCentre, Tier};
-use crate::target_life::TargetLife;
+use crate::target_instance::TargetInstance;
 
 /// Part of the slots (one in so many) that only urgent tiers may take.
 pub const HEADROOM: u32 = 8;
@@ -63,7 +63,7 @@
     /// Time in which a target has to finish the answer, if it resumes one.
     pub finish_within: Option<Duration>,
     /// Targets that are out of the question.
-    pub exclusions: &'a [TargetLife],
+    pub exclusions: &'a [TargetInstance],
     /// Time in which its caller expects a first token, if it told one.
     pub objective: Option<Duration>,
     /// Kind of room that is needed.
@@ -98,7 +98,7 @@
     /// Tokens of prefill left after what the cache is believed to save.
     pub prefill: u64,
     /// The target.
-    pub target: TargetLife,
+    pub target: TargetInstance,
 }
 
 /// Room in a pool at one moment. Only targets that are well count: the free slots of a hung one
@@ -118,7 +118,7 @@
 impl Room {
     /// Looks at all targets.
     #[must_use]
-    pub fn of(targets: &IndexMap<TargetLife, Target>, now: Instant) -> Self {
+    pub fn of(targets: &IndexMap<TargetInstance, Target>, now: Instant) -> Self {
         let well = |target: &&Target| target.health.state() == health::State::Well;
         let well = targets.values().filter(|target| target.live).filter(well);
         well.fold(Self::default(), |room, target| Self {
@@ -208,7 +208,7 @@
 /// Whether any target is open to an ask.
 #[must_use]
 pub fn any_open(
-    targets: &IndexMap<TargetLife, Target>,
+    targets: &IndexMap<TargetInstance, Target>,
     wanted: &Wanted<'_>,
     room: Room,
     now: Instant,
@@ -222,7 +222,7 @@
 /// the prefill it saves is longer than the wait for what is already there.
 #[must_use]
 pub fn choose(
-    targets: &IndexMap<TargetLife, Target>,
+    targets: &IndexMap<TargetInstance, Target>,
     affinity: &Affinity,
     wanted: &Wanted<'_>,
     room: Room,
--- a/crates/lilaccrank/src/dispatch/message.rs
+++ b/crates/lilaccrank/src/dispatch/message.rs
@@ -8,7 +8,7 @@
 use crate::document::Limit;
 use crate::error_kind::ErrorKind;
 use crate::ids::{CustomerId, Incarnation, Rank, RequestId, RuleId, Tier, VmId};
-use crate::target_life::TargetLife;
+use crate::target_instance::TargetInstance;
 
 /// Counts the asks for one request; a grant of an earlier ask is void.
 pub type AskNumber = u64;
@@ -30,7 +30,7 @@
     /// Life of that daemon.
     pub entry_incarnation: Incarnation,
     /// Targets that must not be granted, since they failed this request before.
-    pub exclusions: Vec<TargetLife>,
+    pub exclusions: Vec<TargetInstance>,
     /// Limits of the rule that matched.
     pub limit: Option<Limit>,
     /// Most tokens to generate.
@@ -90,7 +90,7 @@
     /// The request.
     pub request: RequestId,
     /// Where to send it.
-    pub target: TargetLife,
+    pub target: TargetInstance,
 }
 
 /// Refusal of one ask; the request was not run for it.
@@ -136,7 +136,7 @@
     /// The request.
     pub request: RequestId,
     /// Where it runs.
-    pub target: TargetLife,
+    pub target: TargetInstance,
 }
 
 /// What happened to a granted request.
@@ -209,7 +209,7 @@
     /// Tokens generated so far; `None` before the first.
     pub decoded: Option<u32>,
     /// Where it runs.
-    pub target: TargetLife,
+    pub target: TargetInstance,
 }
 
 /// All that one entry daemon has with this pool; replaces what was known of it.
--- a/crates/lilaccrank/src/dispatch/rate_limit.rs
+++ b/crates/lilaccrank/src/dispatch/rate_limit.rs
@@ -10,7 +10,7 @@
 
 use crate::cells::CellId;
 use crate::rendezvous;
-use crate::target_life::LifeDigest;
+use crate::target_instance::InstanceDigest;
 
 /// Lowest rate that is applied. Without any request a target could not advertise the end of its limit.
 const LOWEST_PER_S: f64 = 0.1;
@@ -33,7 +33,7 @@
 
 /// The share of the cell `me` of a target's rate, where these cells send to it.
 #[must_use]
-pub fn share(per_s: f64, target: LifeDigest, cells: &[CellId], me: CellId) -> Share {
+pub fn share(per_s: f64, target: InstanceDigest, cells: &[CellId], me: CellId) -> Share {
     let per_s = per_s.max(LOWEST_PER_S);
     let burst = per_s * BURST_S + BURST;
     let names = cells.iter().map(|cell| (cell, cell.index.to_string()));
--- a/crates/lilaccrank/src/dispatch/reports.rs
+++ b/crates/lilaccrank/src/dispatch/reports.rs
@@ -10,7 +10,7 @@
 use super::work::Work;
 use crate::document::{Pool, TargetState};
 use crate::error_kind::ErrorKind;
-use crate::target_life::TargetLife;
+use crate::target_instance::TargetInstance;
 
 /// Weight of a new sample in the usual length of answers.
 const LENGTH_GAIN: f64 = 0.05;
@@ -85,7 +85,12 @@
     }
 
     /// Takes in a target's own report.
-    pub(super) fn load_report(&mut self, target: &TargetLife, report: LoadReport, now: Instant) {
+    pub(super) fn load_report(
+        &mut self,
+        target: &TargetInstance,
+        report: LoadReport,
+        now: Instant,
+    ) {
         if let Some(target) = self.targets.get_mut(target) {
             target.estimate.reported(report, now);
             self.note_opening();
@@ -96,7 +101,7 @@
     /// Takes in cache events of a target.
     pub(super) fn cache_events(
         &mut self,
-        target: &TargetLife,
+        target: &TargetInstance,
         sequence: u64,
         events: &[CacheEvent],
     ) {
@@ -116,11 +121,12 @@
         let here: Vec<_> = here.filter(|t| near(&t.data_centre)).collect();
         // Nothing that is known of an earlier life of a target holds for the present one.
         let known = self.targets.values();
-        let stays = |life: &TargetLife| here.iter().any(|given| TargetLife::of(given) == *life);
+        let stays =
+            |life: &TargetInstance| here.iter().any(|given| TargetInstance::of(given) == *life);
         let known = known.filter(|target| stays(&target.life));
         let usual = Estimate::usual(known.map(|target| &target.estimate), now);
         for given in here {
-            let life = TargetLife::of(given);
+            let life = TargetInstance::of(given);
             let target = self.targets.entry(life.clone()).or_insert_with(|| Target {
                 estimate: usual.clone(),
                 ..Target::new(life, given.slots, now)
@@ -131,7 +137,7 @@
         }
         self.cfg.waiting_limit = pool.waiting_limit;
         self.note_opening();
-        let lives: Vec<TargetLife> = self.targets.keys().cloned().collect();
+        let lives: Vec<TargetInstance> = self.targets.keys().cloned().collect();
         for life in &lives {
             self.drop_if_left(life);
         }
@@ -145,7 +151,7 @@
     }
 
     /// Drops a target that gets nothing and runs nothing.
-    pub(super) fn drop_if_left(&mut self, life: &TargetLife) {
+    pub(super) fn drop_if_left(&mut self, life: &TargetInstance) {
         let target = self.targets.get(life);
         if target.is_some_and(|target| !target.live && target.estimate.running() == 0) {
             self.targets.shift_remove(life);
--- a/crates/lilaccrank/src/dispatch/sharing.rs
+++ b/crates/lilaccrank/src/dispatch/sharing.rs
@@ -16,7 +16,7 @@
 use super::work::Work;
 use crate::ids::{TargetId, VmId};
 use crate::rendezvous;
-use crate::target_life::LifeDigest;
+use crate::target_instance::InstanceDigest;
 
 mod sample;
 
@@ -51,7 +51,7 @@
     /// What it saw since its last digest.
     pub samples: Vec<Sample>,
     /// Running counts of requests sent to targets with a rate limit.
-    pub sent: Vec<(LifeDigest, u32)>,
+    pub sent: Vec<(InstanceDigest, u32)>,
     /// Standing of the first ask that waits there for any target.
     pub waiting: Option<Standing>,
     /// Whether it has nothing on the targets that are left out; else they are as they were.
@@ -66,7 +66,7 @@
     /// Number of requests.
     pub running: u32,
     /// The target.
-    pub target: LifeDigest,
+    pub target: InstanceDigest,
 }
 
 /// What the other daemons have on the targets, and what they were told.
@@ -76,7 +76,7 @@
     is_urgent: bool,
     peers: IndexMap<VmId, Peer>,
     samples: Vec<Sample>,
-    told: IndexMap<LifeDigest, Told>,
+    told: IndexMap<InstanceDigest, Told>,
     told_waiting: Option<Standing>,
     told_whole: Option<Instant>,
 }
@@ -84,8 +84,8 @@
 #[derive(Debug)]
 struct Peer {
     heard: Instant,
-    loads: IndexMap<LifeDigest, TargetLoad>,
-    sent: IndexMap<LifeDigest, u32>,
+    loads: IndexMap<InstanceDigest, TargetLoad>,
+    sent: IndexMap<InstanceDigest, u32>,
     waiting: Option<Standing>,
 }
 
@@ -99,7 +99,7 @@
 
 impl Peer {
     /// Requests sent since its last digest; the first count of a target is only a baseline.
-    fn take_sent(&mut self, sent: &[(LifeDigest, u32)]) -> Vec<(LifeDigest, u32)> {
+    fn take_sent(&mut self, sent: &[(InstanceDigest, u32)]) -> Vec<(InstanceDigest, u32)> {
         let new = sent.iter().filter_map(|(target, count)| {
             let before = self.sent.insert(*target, *count)?;
             let new = count.checked_sub(before).unwrap_or(*count);
@@ -129,7 +129,7 @@
 
 impl Sharing {
     /// Notes what was seen, for the next digest.
-    pub(super) fn note(&mut self, target: LifeDigest, seen: Seen) {
+    pub(super) fn note(&mut self, target: InstanceDigest, seen: Seen) {
         if self.samples.len() < SAMPLES_LIMIT {
             self.samples.push(Sample { seen, target });
         }
@@ -149,8 +149,8 @@
     }
 
     /// What all peers have on each target.
-    fn totals(&self) -> IndexMap<LifeDigest, (u32, Work)> {
-        let mut totals: IndexMap<LifeDigest, (u32, Work)> = IndexMap::new();
+    fn totals(&self) -> IndexMap<InstanceDigest, (u32, Work)> {
+        let mut totals: IndexMap<InstanceDigest, (u32, Work)> = IndexMap::new();
         for load in self.peers.values().flat_map(|peer| peer.loads.values()) {
             let total = totals.entry(load.target).or_default();
             total.0 = total.0.saturating_add(load.running);
--- a/crates/lilaccrank/src/dispatch/sharing/sample.rs
+++ b/crates/lilaccrank/src/dispatch/sharing/sample.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::target_life::LifeDigest;
+use crate::target_instance::InstanceDigest;
 
 /// One thing that was seen of a target.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
@@ -14,7 +14,7 @@
     /// What was seen.
     pub seen: Seen,
     /// The target.
-    pub target: LifeDigest,
+    pub target: InstanceDigest,
 }
 
 /// What was seen of a target.
@@ -45,7 +45,7 @@
 /// A sample as it travels: the target, which kind it is, a time in microseconds and a number. With the
 /// names of kinds and fields it would take three times the bytes.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-struct Packed(LifeDigest, u8, u32, u64);
+struct Packed(InstanceDigest, u8, u32, u64);
 
 /// A kind of sample that this version does not know.
 #[derive(Debug, Display)]
--- a/crates/lilaccrank/src/dispatch/shedding.rs
+++ b/crates/lilaccrank/src/dispatch/shedding.rs
@@ -61,6 +61,6 @@
         };
         let wait = Duration::try_from_secs_f64(wait).unwrap_or(LONGEST_RETRY);
         let wait = wait.clamp(SHORTEST_RETRY, LONGEST_RETRY);
-        wait + backoff::full_jitter_by(&mut self.rng, wait)
+        wait + backoff::full_jitter_with(&mut self.rng, wait)
     }
 }
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -28,7 +28,7 @@
 use crate::error_kind::ErrorKind;
 use crate::ids::RequestId;
 use crate::stream_progress;
-use crate::target_life::{LifeDigest, TargetLife};
+use crate::target_instance::{InstanceDigest, TargetInstance};
 
 /// Part of the time that an answer still takes at its target within which another one has to finish it: a
 /// migration reads the prompt and the partial answer once more.
@@ -102,7 +102,7 @@
     pub(super) max_tokens: u32,
     /// Digests of a prompt that the target still reads.
     pub(super) pending: Vec<u64>,
-    pub(super) target: TargetLife,
+    pub(super) target: TargetInstance,
     pub(super) tokens: u64,
     /// Whether it tries a target that was silent.
     pub(super) trial: bool,
@@ -128,7 +128,7 @@
     pub(super) queue: Queue,
     pub(super) reservations: IndexMap<RequestId, HeldGrant>,
     pub(super) sharing: Sharing,
-    pub(super) targets: IndexMap<TargetLife, Target>,
+    pub(super) targets: IndexMap<TargetInstance, Target>,
     /// Tiers that use the pool.
     pub(super) tiers: Tiers,
     /// Grants so far.
@@ -270,7 +270,11 @@
     }
 
     /// Sets the cell's shares of advertised rates.
-    pub(super) fn set_rate_limits(&mut self, shares: &IndexMap<LifeDigest, Share>, now: Instant) {
+    pub(super) fn set_rate_limits(
+        &mut self,
+        shares: &IndexMap<InstanceDigest, Share>,
+        now: Instant,
+    ) {
         for target in self.targets.values_mut() {
             target.set_rate_limit(shares.get(&target.digest).copied(), now);
         }
--- a/crates/lilaccrank/src/dispatch/status.rs
+++ b/crates/lilaccrank/src/dispatch/status.rs
@@ -7,7 +7,7 @@
 
 use super::health;
 use super::state::State;
-use crate::ids::{Born, TargetId, Tier};
+use crate::ids::{StartTimeMs, TargetId, Tier};
 
 /// State of a pool.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -38,7 +38,7 @@
 pub struct TargetStatus {
     /// When it started; 0 if it doesn't say.
     #[serde(default)]
-    pub born: Born,
+    pub born: StartTimeMs,
     /// Blocks that its prefix cache is believed to hold.
     pub cached_blocks: usize,
     /// Tokens that it still has to generate.
@@ -73,7 +73,7 @@
         let targets = self.targets.values().map(|target| {
             let estimate = &target.estimate;
             TargetStatus {
-                born: target.life.born,
+                born: target.life.started_ms,
                 cached_blocks: self.affinity.blocks(&target.life),
                 decode_outstanding: estimate.outstanding().decode,
                 health: target.health.state(),
--- a/crates/lilaccrank/src/dispatch/target.rs
+++ b/crates/lilaccrank/src/dispatch/target.rs
@@ -7,7 +7,7 @@
 use super::queue::Standing;
 use super::rate_limit::{RateLimit, Share};
 use crate::ids::DataCentre;
-use crate::target_life::{LifeDigest, TargetLife};
+use crate::target_instance::{InstanceDigest, TargetInstance};
 
 /// Time for which room that another daemon gave back is left to the daemon whose ask goes first.
 ///
@@ -43,9 +43,9 @@
     /// Where it runs.
     pub data_centre: DataCentre,
     /// Its name and its life.
-    pub life: TargetLife,
+    pub life: TargetInstance,
     /// The number that stands for its life in messages between daemons.
-    pub digest: LifeDigest,
+    pub digest: InstanceDigest,
     /// Whether it may get new work.
     pub live: bool,
     /// Long prompts sent whose first token has not come.
@@ -67,7 +67,7 @@
 impl Target {
     /// A live target that was never seen.
     #[must_use]
-    pub fn new(life: TargetLife, slots: u32, now: Instant) -> Self {
+    pub fn new(life: TargetInstance, slots: u32, now: Instant) -> Self {
         Self {
             digest: life.digest(),
             estimate: Estimate::new(now),
@@ -87,7 +87,7 @@
 
     /// A target that is known only from a request that runs there.
     #[must_use]
-    pub fn leaving(life: TargetLife, now: Instant) -> Self {
+    pub fn leaving(life: TargetInstance, now: Instant) -> Self {
         Self {
             live: false,
             ..Self::new(life, 0, now)
--- a/crates/lilaccrank/src/document.rs
+++ b/crates/lilaccrank/src/document.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{
-    Born, CustomerId, DataCentre, ModelId, PoolId, Rank, RuleId, TargetId, Tier, VmId,
+    CustomerId, DataCentre, ModelId, PoolId, Rank, RuleId, StartTimeMs, TargetId, Tier, VmId,
 };
 
 /// A whole configuration, without its generation.
@@ -62,7 +62,7 @@
     /// Tiers it may wish for; a request without a wish gets the last one.
     pub tiers: Vec<String>,
     /// Share among customers of one tier, 1 by default.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub weight: u32,
 }
 
@@ -75,7 +75,7 @@
     /// Units a second.
     pub per_s: f64,
     /// What a request without a length counts as where units are tokens.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub plain_tokens: u32,
     /// What is counted.
     pub unit: QuotaUnit,
@@ -135,10 +135,10 @@
     /// The targets, over all data centres.
     pub targets: Vec<Target>,
     /// Tokens in one event of a stream of its targets.
-    #[serde(default = "one")]
+    #[serde(default = "default_one")]
     pub tokens_in_event: u32,
     /// Most requests that wait in one data centre's queue of this pool.
-    #[serde(default = "waiting_limit")]
+    #[serde(default = "default_waiting_limit")]
     pub waiting_limit: usize,
 }
 
@@ -173,8 +173,8 @@
     /// IP number and port.
     pub address: String,
     /// When it started; a later one under the same name is another target.
-    #[serde(default, skip_serializing_if = "is_unknown")]
-    pub born: Born,
+    #[serde(rename = "born", default, skip_serializing_if = "is_unknown")]
+    pub started_ms: StartTimeMs,
     /// Where the target runs.
     pub data_centre: DataCentre,
     /// Whether it checks fencing numbers.
@@ -183,7 +183,7 @@
     /// Name of the target.
     pub id: TargetId,
     /// Requests it runs at once.
-    #[serde(default = "slots")]
+    #[serde(default = "default_slots")]
     pub slots: u32,
     /// Whether it may get new work.
     #[serde(default)]
@@ -289,7 +289,7 @@
     pub refuse: Option<String>,
     /// Send it to one of these pools, each as often as its weight says.
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub split: Vec<Share>,
+    pub split: Vec<WeightedPool>,
     /// Data centres to try when this one refuses, in order.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub spill: Vec<DataCentre>,
@@ -307,7 +307,7 @@
 /// One pool among several.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Share {
+pub struct WeightedPool {
     /// The pool.
     pub pool: PoolId,
     /// How often it is taken, against the sum of all weights.
@@ -418,18 +418,18 @@
     }
 }
 
-fn one() -> u32 {
+fn default_one() -> u32 {
     1
 }
 
-fn slots() -> u32 {
+fn default_slots() -> u32 {
     8
 }
 
-fn is_unknown(born: &Born) -> bool {
-    *born == 0
+fn is_unknown(started_ms: &StartTimeMs) -> bool {
+    *started_ms == 0
 }
 
-fn waiting_limit() -> usize {
+fn default_waiting_limit() -> usize {
     10_000
 }
--- a/crates/lilaccrank/src/error_kind.rs
+++ b/crates/lilaccrank/src/error_kind.rs
@@ -6,7 +6,7 @@
 /// Whether a refused request was run by a target.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum Executed {
     /// Some of it may have been run.
     #[display("maybe")]
     Maybe,
@@ -98,11 +98,11 @@
 
 /// What a caller is told for a kind of error.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// Whether a target may have run the request, unless the place of failure knows better.
-    pub ran: Ran,
+    pub executed: Executed,
     /// Whether the same request can succeed later, so that a `Retry-After` makes sense.
-    pub retry: bool,
+    pub retryable: bool,
     /// HTTP status.
     pub status: u16,
 }
@@ -139,40 +139,44 @@
 
     /// Whether the reason says nothing about the target.
     #[must_use]
-    pub fn is_from_outside(self) -> bool {
+    pub fn is_unrelated_to_target(self) -> bool {
         matches!(self, Self::Cancelled | Self::DeadlinePassed | Self::Leaving)
     }
 
     /// The table from kind to answer.
     #[must_use]
-    pub fn answer(self) -> Answer {
-        let (status, ran, retry) = match self {
-            Self::AlreadyRun => (409, Ran::Maybe, false),
-            Self::BadRequest => (400, Ran::No, false),
-            Self::BrokenAnswer => (502, Ran::Maybe, false),
-            Self::Cancelled => (499, Ran::Maybe, false),
-            Self::DeadlinePassed => (504, Ran::Maybe, false),
-            Self::DeadlineUnmeetable => (503, Ran::No, true),
-            Self::Forbidden => (403, Ran::No, false),
-            Self::Internal => (500, Ran::Maybe, false),
-            Self::KeyReused => (422, Ran::No, false),
-            Self::Leaving => (503, Ran::No, true),
-            Self::NoRule => (403, Ran::No, false),
-            Self::NoTarget => (503, Ran::No, true),
-            Self::NotFound => (404, Ran::No, false),
-            Self::NotReady => (503, Ran::No, true),
-            Self::Overloaded => (503, Ran::No, true),
-            Self::Quarantined => (503, Ran::No, true),
-            Self::RateLimited => (429, Ran::No, true),
-            Self::RefusedByRule => (403, Ran::No, false),
-            Self::StoreUnavailable => (503, Ran::No, true),
-            Self::TargetFailed => (502, Ran::Maybe, false),
-            Self::TargetRefused => (503, Ran::No, true),
-            Self::TargetSilent => (504, Ran::Maybe, false),
-            Self::TooLarge => (413, Ran::No, false),
-            Self::Unauthorized => (401, Ran::No, false),
-            Self::UnknownModel => (404, Ran::No, false),
+    pub fn response(self) -> ErrorResponse {
+        let (status, executed, retryable) = match self {
+            Self::AlreadyRun => (409, Executed::Maybe, false),
+            Self::BadRequest => (400, Executed::No, false),
+            Self::BrokenAnswer => (502, Executed::Maybe, false),
+            Self::Cancelled => (499, Executed::Maybe, false),
+            Self::DeadlinePassed => (504, Executed::Maybe, false),
+            Self::DeadlineUnmeetable => (503, Executed::No, true),
+            Self::Forbidden => (403, Executed::No, false),
+            Self::Internal => (500, Executed::Maybe, false),
+            Self::KeyReused => (422, Executed::No, false),
+            Self::Leaving => (503, Executed::No, true),
+            Self::NoRule => (403, Executed::No, false),
+            Self::NoTarget => (503, Executed::No, true),
+            Self::NotFound => (404, Executed::No, false),
+            Self::NotReady => (503, Executed::No, true),
+            Self::Overloaded => (503, Executed::No, true),
+            Self::Quarantined => (503, Executed::No, true),
+            Self::RateLimited => (429, Executed::No, true),
+            Self::RefusedByRule => (403, Executed::No, false),
+            Self::StoreUnavailable => (503, Executed::No, true),
+            Self::TargetFailed => (502, Executed::Maybe, false),
+            Self::TargetRefused => (503, Executed::No, true),
+            Self::TargetSilent => (504, Executed::Maybe, false),
+            Self::TooLarge => (413, Executed::No, false),
+            Self::Unauthorized => (401, Executed::No, false),
+            Self::UnknownModel => (404, Executed::No, false),
         };
-        Answer { ran, retry, status }
+        ErrorResponse {
+            executed,
+            retryable,
+            status,
+        }
     }
 }
--- a/crates/lilaccrank/src/guarded_store.rs
+++ b/crates/lilaccrank/src/guarded_store.rs
@@ -12,14 +12,14 @@
 use bytes::Bytes;
 
 use crate::backoff::Backoff;
-use crate::circuit::{self, Circuit, Permit};
+use crate::circuit_breaker::{self, CircuitBreaker, Permit};
 use crate::clock::{self, Clock};
 use crate::retry_budget::{self, RetryBudget};
 use crate::store::{Error, Expect, Result, Store, Version, Versioned};
 
 /// Longest wait of a watch that is the trial of a half-open circuit. A quiet object would
 /// otherwise keep the circuit half open for as long as the watch, and all other calls out.
-const TRIAL_WATCH: Duration = Duration::from_millis(500);
+const MAX_TRIAL_WATCH: Duration = Duration::from_millis(500);
 
 /// Circuit, budget and tries of a guarded store.
 #[derive(Clone, Debug, PartialEq)]
@@ -29,13 +29,13 @@
     /// Longest wait for an answer; a watch may take its own time besides.
     pub call_timeout: Duration,
     /// The circuit.
-    pub circuit: circuit::Settings,
+    pub circuit: circuit_breaker::Settings,
     /// Ceiling of the first wait between tries.
-    pub first_wait: Duration,
+    pub initial_wait: Duration,
     /// Highest ceiling of a wait.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
     /// Tries of one call, the first included.
-    pub tries: u32,
+    pub max_attempts: u32,
 }
 
 impl Default for Settings {
@@ -43,10 +43,10 @@
         Self {
             budget: retry_budget::Settings::default(),
             call_timeout: Duration::from_secs(2),
-            circuit: circuit::Settings::default(),
-            first_wait: Duration::from_millis(50),
-            longest_wait: Duration::from_secs(1),
-            tries: 3,
+            circuit: circuit_breaker::Settings::default(),
+            initial_wait: Duration::from_millis(50),
+            max_wait: Duration::from_secs(1),
+            max_attempts: 3,
         }
     }
 }
@@ -56,14 +56,14 @@
 pub struct GuardedStore<S, C> {
     budget: Rc<RefCell<RetryBudget>>,
     cfg: Settings,
-    circuit: Circuit<C>,
+    circuit: CircuitBreaker<C>,
     clock: C,
     store: S,
 }
 
 /// Whether a call may be made again after [`Error::Unknown`].
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Kind {
+enum CallKind {
     Read,
     /// It may have taken effect: only its caller can tell by reading back.
     Write,
@@ -75,7 +75,7 @@
         let budget = RetryBudget::new(cfg.budget.clone(), clock.now());
         Self {
             budget: Rc::new(RefCell::new(budget)),
-            circuit: Circuit::new(cfg.circuit.clone(), clock.clone()),
+            circuit: CircuitBreaker::new(cfg.circuit.clone(), clock.clone()),
             cfg,
             clock,
             store,
@@ -85,44 +85,46 @@
     /// `once` makes the call; it is given how long the store may wait before it answers.
     async fn call<T, F>(
         &self,
-        kind: Kind,
+        kind: CallKind,
         wait: Duration,
-        once: impl Fn(Duration) -> F,
+        attempt: impl Fn(Duration) -> F,
     ) -> Result<T>
     where
         F: Future<Output = Result<T>>,
     {
         self.budget.borrow_mut().record_call();
-        let mut backoff = Backoff::new(self.cfg.first_wait, self.cfg.longest_wait);
-        let mut tries = 1;
+        let mut backoff = Backoff::new(self.cfg.initial_wait, self.cfg.max_wait);
+        let mut attempts = 1;
         loop {
             // An open circuit ends the call: retries against it would only use up the budget.
             let Ok(permit) = self.circuit.permit() else {
                 return Err(Error::Unavailable);
             };
             let wait = if permit.is_trial() {
-                wait.min(TRIAL_WATCH)
+                wait.min(MAX_TRIAL_WATCH)
             } else {
                 wait
             };
             let limit = wait + self.cfg.call_timeout;
-            let answer = clock::timeout(&self.clock, limit, once(wait)).await;
+            let answer = clock::timeout(&self.clock, limit, attempt(wait)).await;
             let outcome = answer.unwrap_or(Err(Error::Unknown));
-            tell(permit, &outcome);
-            let Some(least) = retry_after(kind, &outcome) else {
+            record_outcome(permit, &outcome);
+            let Some(min_wait) = retry_after(kind, &outcome) else {
                 return outcome;
             };
-            if tries >= self.cfg.tries || !self.budget.borrow_mut().try_retry(self.clock.now()) {
+            if attempts >= self.cfg.max_attempts
+                || !self.budget.borrow_mut().try_retry(self.clock.now())
+            {
                 return outcome;
             }
-            self.clock.sleep(least + backoff.next_wait()).await;
-            tries += 1;
+            self.clock.sleep(min_wait + backoff.next_wait()).await;
+            attempts += 1;
         }
     }
 }
 
 /// Tells the circuit what came of a call. A conflict is an answer like any other.
-fn tell<T, C: Clock>(permit: Permit<C>, outcome: &Result<T>) {
+fn record_outcome<T, C: Clock>(permit: Permit<C>, outcome: &Result<T>) {
     match outcome {
         Ok(_) | Err(Error::Conflict { .. } | Error::TooLarge { .. }) => permit.succeeded(),
         Err(Error::Throttled { retry_after }) => permit.failed(*retry_after),
@@ -131,30 +133,30 @@
 }
 
 /// Least wait before the call may be made again; `None` if its outcome stands.
-fn retry_after<T>(kind: Kind, outcome: &Result<T>) -> Option<Duration> {
+fn retry_after<T>(kind: CallKind, outcome: &Result<T>) -> Option<Duration> {
     match outcome {
         Err(Error::Throttled { retry_after }) => Some(*retry_after),
         Err(Error::Unavailable) => Some(Duration::ZERO),
-        Err(Error::Unknown) if kind == Kind::Read => Some(Duration::ZERO),
+        Err(Error::Unknown) if kind == CallKind::Read => Some(Duration::ZERO),
         _ => None,
     }
 }
 
 impl<S: Store, C: Clock> Store for GuardedStore<S, C> {
     async fn get(&self, key: &str) -> Result<Option<Versioned>> {
-        self.call(Kind::Read, Duration::ZERO, |_| self.store.get(key))
+        self.call(CallKind::Read, Duration::ZERO, |_| self.store.get(key))
             .await
     }
 
     async fn put(&self, key: &str, value: Bytes, expect: Expect) -> Result<Version> {
-        self.call(Kind::Write, Duration::ZERO, |_| {
+        self.call(CallKind::Write, Duration::ZERO, |_| {
             self.store.put(key, value.clone(), expect)
         })
         .await
     }
 
     async fn delete(&self, key: &str, expect: Expect) -> Result<()> {
-        self.call(Kind::Write, Duration::ZERO, |_| {
+        self.call(CallKind::Write, Duration::ZERO, |_| {
             self.store.delete(key, expect)
         })
         .await
@@ -166,7 +168,9 @@
         seen: Option<Version>,
         wait: Duration,
     ) -> Result<Option<Versioned>> {
-        self.call(Kind::Read, wait, |wait| self.store.watch(key, seen, wait))
-            .await
+        self.call(CallKind::Read, wait, |wait| {
+            self.store.watch(key, seen, wait)
+        })
+        .await
     }
 }
--- a/crates/lilaccrank/src/ids.rs
+++ b/crates/lilaccrank/src/ids.rs
@@ -1,7 +1,7 @@
 //! Aliases for the identifiers that cross module borders.
 
 /// When a target started, in milliseconds since 1970; 0 where it doesn't say.
-pub type Born = u64;
+pub type StartTimeMs = u64;
 /// Digest of what a request asks for and who asks, the same for each attempt.
 pub type ContentDigest = u64;
 /// A customer, as named in the configuration.
--- a/crates/lilaccrank/src/lease/candidate.rs
+++ b/crates/lilaccrank/src/lease/candidate.rs
@@ -104,7 +104,7 @@
     /// more slowly than seconds, so the clock is ahead of them. If it is wrong, nothing is lost:
     /// the number is still above each one seen.
     fn next_fence(&self) -> Fence {
-        let wall = self.context.clock.wall();
+        let wall = self.context.clock.wall_time();
         let since = wall.duration_since(SystemTime::UNIX_EPOCH);
         let seconds = since.map_or(0, |since| since.as_secs());
         seconds.max(self.context.highest_fence + 1)
--- a/crates/lilaccrank/src/membership.rs
+++ b/crates/lilaccrank/src/membership.rs
@@ -54,9 +54,9 @@
 
 /// What the handle asks of the running gossip.
 enum Command {
-    Hint(VmId),
+    ProbeHint(VmId),
     Leave(oneshot::Sender<()>),
-    Rumour(VmId),
+    ReportedSuspect(VmId),
     Suspect(VmId),
 }
 
@@ -65,9 +65,9 @@
     seeds: RefCell<Vec<SocketAddr>>,
     snapshot: RefCell<Option<Snapshot>>,
     table: RefCell<Table>,
-    under_watch: RefCell<HashSet<VmId>>,
+    watched_suspects: RefCell<HashSet<VmId>>,
     wakers: RefCell<Vec<Waker>>,
-    woken_at: Cell<u64>,
+    woken_version: Cell<u64>,
 }
 
 /// Makes the membership of `me`. `me.incarnation` is its start time in milliseconds; its state
@@ -85,9 +85,9 @@
         seeds: RefCell::default(),
         snapshot: RefCell::default(),
         table: RefCell::new(Table::new(me, clock.now())),
-        under_watch: RefCell::default(),
+        watched_suspects: RefCell::default(),
         wakers: RefCell::default(),
-        woken_at: Cell::new(1),
+        woken_version: Cell::new(1),
     });
     let membership = Membership {
         shared: Rc::clone(&shared),
@@ -188,7 +188,7 @@
     /// Hints that `vm` seems gone, for instance since it refused a connection. It is probed at
     /// once; the hint alone never declares it dead.
     pub fn suspect(&self, vm: &str) {
-        self.shared.send(Command::Hint(vm.to_owned()));
+        self.shared.send(Command::ProbeHint(vm.to_owned()));
     }
 }
 
@@ -205,7 +205,7 @@
             let mut table = self.table.borrow_mut();
             (change(&mut table), table.version)
         };
-        if self.woken_at.replace(version) != version {
+        if self.woken_version.replace(version) != version {
             let wakers = self.wakers.take();
             wakers.into_iter().for_each(Waker::wake);
         }
--- a/crates/lilaccrank/src/membership/gossip.rs
+++ b/crates/lilaccrank/src/membership/gossip.rs
@@ -121,7 +121,7 @@
         for report in reports {
             let vm = report.vm.clone();
             match self.shared.update(|table| table.apply(report, now)) {
-                Applied::NewSuspect => self.shared.send(Command::Rumour(vm)),
+                Applied::NewSuspect => self.shared.send(Command::ReportedSuspect(vm)),
                 Applied::Resurrected(record) => self.tell_of_death(record).await,
                 Applied::StaleAboutMe => first.push(vm),
                 Applied::Changed | Applied::Unchanged => {}
--- a/crates/lilaccrank/src/membership/suspicion.rs
+++ b/crates/lilaccrank/src/membership/suspicion.rs
@@ -15,13 +15,13 @@
 impl<C: Clock, D: Datagrams> Node<C, D> {
     pub(super) async fn serve(&self, command: Command) {
         match command {
-            Command::Hint(vm) => self.watch_once(&vm, self.check_hint(&vm)).await,
+            Command::ProbeHint(vm) => self.watch_once(&vm, self.check_hint(&vm)).await,
             Command::Leave(done) => {
                 self.leave().await;
                 // The caller may have stopped waiting; all the same the others know.
                 let _ = done.send(());
             }
-            Command::Rumour(vm) => self.watch_once(&vm, self.watch_hearsay(&vm)).await,
+            Command::ReportedSuspect(vm) => self.watch_once(&vm, self.watch_hearsay(&vm)).await,
             Command::Suspect(vm) => self.watch_once(&vm, self.watch(&vm)).await,
         }
     }
@@ -36,10 +36,10 @@
     }
 
     async fn watch_once(&self, vm: &VmId, watch: impl Future<Output = ()>) {
-        let new = self.shared.under_watch.borrow_mut().insert(vm.clone());
+        let new = self.shared.watched_suspects.borrow_mut().insert(vm.clone());
         if new {
             watch.await;
-            self.shared.under_watch.borrow_mut().remove(vm);
+            self.shared.watched_suspects.borrow_mut().remove(vm);
         }
     }
 
--- a/crates/lilaccrank/src/operators.rs
+++ b/crates/lilaccrank/src/operators.rs
@@ -48,7 +48,8 @@
     /// The name it got.
     pub identity: Identity,
     /// Live members that did not tell what they hold.
-    pub unheard: Vec<VmId>,
+    #[serde(rename = "unheard")]
+    pub unresponsive: Vec<VmId>,
 }
 
 /// The configuration in force and those that it was made from.
--- a/crates/lilaccrank/src/orders.rs
+++ b/crates/lilaccrank/src/orders.rs
@@ -106,7 +106,7 @@
 
 /// Where an order goes.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Addressee {
+pub struct OrderTarget {
     /// Whether it checks the number.
     pub fencing: Fencing,
     /// Its name.
@@ -117,7 +117,7 @@
 pub trait Targets {
     /// Sends an order once. The future may be dropped when its time is up: the adapter must
     /// then send nothing more, and give up each connection on which it has begun to.
-    fn give(&self, target: &TargetId, order: &Order) -> impl Future<Output = Result<()>>;
+    fn issue(&self, target: &TargetId, order: &Order) -> impl Future<Output = Result<()>>;
 }
 
 /// Times of orders.
@@ -128,7 +128,7 @@
     /// Longest wait for the answer; no longer than `in_flight`.
     pub timeout: Duration,
     /// Times an order is sent while no answer comes.
-    pub tries: u32,
+    pub max_attempts: u32,
 }
 
 impl Default for Settings {
@@ -136,7 +136,7 @@
         Self {
             in_flight: Duration::from_secs(5),
             timeout: Duration::from_secs(3),
-            tries: 2,
+            max_attempts: 2,
         }
     }
 }
@@ -146,7 +146,7 @@
     cfg: Settings,
     clock: C,
     guards: G,
-    lanes: RefCell<IndexMap<TargetId, Rc<Lane>>>,
+    target_locks: RefCell<IndexMap<TargetId, Rc<TargetLock>>>,
     targets: T,
 }
 
@@ -156,8 +156,8 @@
 /// the second went out while the first may still arrive, the target could end in the state of
 /// the first. So an order without an answer keeps the way closed until it can't arrive any more.
 #[derive(Default)]
-struct Lane {
-    closed_until: Mutex<Option<Instant>>,
+struct TargetLock {
+    blocked_until: Mutex<Option<Instant>>,
 }
 
 impl<C: Clock, G: Guards, T: Targets> Orders<C, G, T> {
@@ -167,35 +167,35 @@
             cfg,
             clock,
             guards,
-            lanes: RefCell::default(),
+            target_locks: RefCell::default(),
             targets,
         }
     }
 
     /// Gives one order. `id` names it for all its repetitions.
-    pub async fn give(&self, target: &Addressee, id: &str, command: Command) -> Result<()> {
-        let lane = self.lane(&target.id);
-        let mut closed_until = lane.closed_until.lock().await;
-        self.reopen(&mut closed_until).await;
+    pub async fn issue(&self, target: &OrderTarget, id: &str, command: Command) -> Result<()> {
+        let target_lock = self.target_lock(&target.id);
+        let mut blocked_until = target_lock.blocked_until.lock().await;
+        self.wait_until_unblocked(&mut blocked_until).await;
         if target.fencing == Fencing::Ignored {
-            self.wait_out_earlier_holder().await?;
+            self.wait_for_previous_holder().await?;
         }
         let order = Order {
             command,
             fence: self.guards.guard()?.fence,
             id: id.to_owned(),
         };
-        let mut tries = 0;
+        let mut attempts = 0;
         loop {
-            let outcome = self.send(&target.id, &order, &mut closed_until).await;
-            tries += 1;
+            let outcome = self.send(&target.id, &order, &mut blocked_until).await;
+            attempts += 1;
             match outcome {
-                Err(Error::Unknown(_)) if tries < self.cfg.tries => {}
+                Err(Error::Unknown(_)) if attempts < self.cfg.max_attempts => {}
                 // An earlier try may have arrived, whatever became of this one.
-                Err(_) if tries > 1 => return Err(Error::Unknown(target.id.clone())),
+                Err(_) if attempts > 1 => return Err(Error::Unknown(target.id.clone())),
                 outcome => return outcome,
             }
-            self.reopen(&mut closed_until).await;
+            self.wait_until_unblocked(&mut blocked_until).await;
             // The lease may have been with another meanwhile, who gave another order. Sent again
             // under a new number, this one would undo it.
             let guard = self.guards.guard();
@@ -209,45 +209,45 @@
         &self,
         target: &TargetId,
         order: &Order,
-        closed_until: &mut Option<Instant>,
+        blocked_until: &mut Option<Instant>,
     ) -> Result<()> {
         // Set before sending, since this future may be dropped at any later point.
-        *closed_until = Some(self.clock.now() + self.cfg.in_flight);
-        let call = self.targets.give(target, order);
+        *blocked_until = Some(self.clock.now() + self.cfg.in_flight);
+        let call = self.targets.issue(target, order);
         let answer = clock::timeout(&self.clock, self.cfg.timeout, call).await;
         let outcome = answer.unwrap_or_else(|| Err(Error::Unknown(target.clone())));
         if !matches!(outcome, Err(Error::Unknown(_))) {
-            *closed_until = None;
+            *blocked_until = None;
         }
         outcome
     }
 
     /// Waits until what was sent without an answer can't arrive any more.
-    async fn reopen(&self, closed_until: &mut Option<Instant>) {
-        if let Some(until) = *closed_until {
+    async fn wait_until_unblocked(&self, blocked_until: &mut Option<Instant>) {
+        if let Some(until) = *blocked_until {
             let wait = until.saturating_duration_since(self.clock.now());
             self.clock.sleep(wait).await;
         }
-        *closed_until = None;
+        *blocked_until = None;
     }
 
     /// The lane of a target. Targets come and go, so a new one drops those that nobody needs.
-    fn lane(&self, target: &TargetId) -> Rc<Lane> {
-        let mut lanes = self.lanes.borrow_mut();
-        if !lanes.contains_key(target) {
+    fn target_lock(&self, target: &TargetId) -> Rc<TargetLock> {
+        let mut target_locks = self.target_locks.borrow_mut();
+        if !target_locks.contains_key(target) {
             let now = self.clock.now();
-            lanes.retain(|_, lane| !lane.is_idle(now));
+            target_locks.retain(|_, target_lock| !target_lock.is_idle(now));
         }
-        Rc::clone(lanes.entry(target.clone()).or_default())
+        Rc::clone(target_locks.entry(target.clone()).or_default())
     }
 
     /// An earlier holder may have started an order in the last moment of its lease; a target
     /// that ignores the number would carry it out after a newer one, and end in a state that
     /// nobody wants now. After this wait all such orders have arrived or are lost. The lease may
     /// change hands meanwhile, and then the wait starts anew.
-    async fn wait_out_earlier_holder(&self) -> Result<()> {
+    async fn wait_for_previous_holder(&self) -> Result<()> {
         loop {
-            let wait = self.wait_left(&self.guards.guard()?);
+            let wait = self.remaining_wait(&self.guards.guard()?);
             if wait.is_zero() {
                 return Ok(());
             }
@@ -255,16 +255,16 @@
         }
     }
 
-    fn wait_left(&self, guard: &Guard) -> Duration {
+    fn remaining_wait(&self, guard: &Guard) -> Duration {
         let safe_from = guard.earlier_ended + self.cfg.in_flight;
         safe_from.saturating_duration_since(self.clock.now())
     }
 }
 
-impl Lane {
+impl TargetLock {
     fn is_idle(self: &Rc<Self>, now: Instant) -> bool {
-        let closed_until = self.closed_until.try_lock();
+        let blocked_until = self.blocked_until.try_lock();
         Rc::strong_count(self) == 1
-            && closed_until.is_some_and(|until| until.is_none_or(|u| u <= now))
+            && blocked_until.is_some_and(|until| until.is_none_or(|u| u <= now))
     }
 }
--- a/crates/lilaccrank/src/paused_clock.rs
+++ b/crates/lilaccrank/src/paused_clock.rs
@@ -66,7 +66,7 @@
 }
 
 impl Clock for PausedClock {
-    fn boot(&self) -> BootTime {
+    fn boot_time(&self) -> BootTime {
         let inner = self.inner.borrow();
         inner.elapsed + inner.suspended
     }
@@ -89,7 +89,7 @@
         })
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         SystemTime::UNIX_EPOCH + self.elapsed()
     }
 }
--- a/crates/lilaccrank/src/rendezvous.rs
+++ b/crates/lilaccrank/src/rendezvous.rs
@@ -12,22 +12,22 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Owners<'a> {
     /// The member with the highest weight.
-    pub first: &'a VmId,
+    pub primary: &'a VmId,
     /// The next one, `None` if there is only one member.
-    pub second: Option<&'a VmId>,
+    pub backup: Option<&'a VmId>,
 }
 
 /// The member that owns `duty`; `None` without members.
-pub fn owner<'a>(duty: &str, members: impl IntoIterator<Item = &'a VmId>) -> Option<&'a VmId> {
-    owners(duty, members).map(|owners| owners.first)
+pub fn owner<'a>(key: &str, members: impl IntoIterator<Item = &'a VmId>) -> Option<&'a VmId> {
+    owners(key, members).map(|owners| owners.primary)
 }
 
 /// The owner of `duty` and its second copy, in one pass; `None` without members.
-pub fn owners<'a>(duty: &str, members: impl IntoIterator<Item = &'a VmId>) -> Option<Owners<'a>> {
+pub fn owners<'a>(key: &str, members: impl IntoIterator<Item = &'a VmId>) -> Option<Owners<'a>> {
     let mut best: Option<(u64, &VmId)> = None;
     let mut next: Option<(u64, &VmId)> = None;
     for vm in members {
-        let candidate = Some((weight(duty, vm), vm));
+        let candidate = Some((weight(key, vm), vm));
         if candidate > best {
             next = best;
             best = candidate;
@@ -35,21 +35,21 @@
             next = candidate;
         }
     }
-    best.map(|(_, first)| Owners {
-        first,
-        second: next.map(|(_, vm)| vm),
+    best.map(|(_, primary)| Owners {
+        primary,
+        backup: next.map(|(_, vm)| vm),
     })
 }
 
 /// The `count` members with the highest weights for `duty`, the highest first.
 pub fn top<'a>(
-    duty: &str,
+    key: &str,
     members: impl IntoIterator<Item = &'a VmId>,
     count: usize,
 ) -> Vec<&'a VmId> {
     let mut weighted: Vec<_> = members
         .into_iter()
-        .map(|vm| Reverse((weight(duty, vm), vm)))
+        .map(|vm| Reverse((weight(key, vm), vm)))
         .collect();
     if count == 0 {
         return Vec::new();
@@ -64,6 +64,6 @@
 
 /// Weight of `vm` for `duty`; equal weights are ordered by name.
 #[must_use]
-pub fn weight(duty: &str, vm: &str) -> u64 {
-    xxh3::xxh3_64_with_seed(vm.as_bytes(), xxh3::xxh3_64(duty.as_bytes()))
+pub fn weight(key: &str, vm: &str) -> u64 {
+    xxh3::xxh3_64_with_seed(vm.as_bytes(), xxh3::xxh3_64(key.as_bytes()))
 }
--- a/crates/lilaccrank/src/request.rs
+++ b/crates/lilaccrank/src/request.rs
@@ -31,7 +31,8 @@
     /// Estimated prompt length in tokens; 0 for plain services.
     pub prompt_tokens: u32,
     /// Tier the caller wishes for, if it may have it.
-    pub tier_wish: Option<Tier>,
+    #[serde(rename = "tier_wish")]
+    pub requested_tier: Option<Tier>,
 }
 
 impl Facts {
--- a/crates/lilaccrank/src/request_key.rs
+++ b/crates/lilaccrank/src/request_key.rs
@@ -14,13 +14,13 @@
 //!   holders are lost, and across data centres, for [`Limits::retention`].
 //! - Two groups of daemons of one data centre that call each other dead while both run would
 //!   each keep the key. Only the claim in the store holds across such a split.
-//! - An error of [`Claims`] with [`Ran::No`] speaks of the refused attempt. Repeating it under
+//! - An error of [`Claims`] with [`Executed::No`] speaks of the refused attempt. Repeating it under
 //!   the same key is always safe.
 //!
 //! To embed it: serve [`Keeper::handle`] to the other daemons, run [`Keeper::run`] and
 //! [`Claims::sweep_every`] as tasks, and take each request through [`Claims::claim`].
 //!
-//! [`Ran::No`]: crate::error_kind::Ran::No
+//! [`Executed::No`]: crate::error_kind::Executed::No
 
 pub mod budget;
 pub mod claim;
--- a/crates/lilaccrank/src/request_key/claims.rs
+++ b/crates/lilaccrank/src/request_key/claims.rs
@@ -9,7 +9,7 @@
 
 use crate::backoff::Backoff;
 use crate::clock::Clock;
-use crate::error_kind::{ErrorKind, Ran};
+use crate::error_kind::{ErrorKind, Executed};
 use crate::ids::{CustomerId, RequestKey};
 use crate::peers::Peers;
 use crate::request_key::budget::Budget;
@@ -77,8 +77,8 @@
 
     /// Whether a target may have been given the request.
     #[must_use]
-    pub fn ran(&self) -> Ran {
-        self.kind().answer().ran
+    pub fn ran(&self) -> Executed {
+        self.kind().response().executed
     }
 }
 
--- a/crates/lilaccrank/src/request_key/keeper.rs
+++ b/crates/lilaccrank/src/request_key/keeper.rs
@@ -329,7 +329,7 @@
     }
 
     pub(super) fn wall_ms(&self) -> u64 {
-        let wall = self.inner.clock.wall();
+        let wall = self.inner.clock.wall_time();
         let since = wall.duration_since(SystemTime::UNIX_EPOCH);
         since.map_or(0, |wall| {
             u64::try_from(wall.as_millis()).unwrap_or(u64::MAX)
--- a/crates/lilaccrank/src/retry_budget.rs
+++ b/crates/lilaccrank/src/retry_budget.rs
@@ -11,19 +11,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Retries saved up at most.
-    pub reserve: f64,
+    pub capacity: f64,
     /// Retries per second besides the share, so that rare calls can be retried as well.
     pub per_second: f64,
     /// Retries per call.
-    pub share: f64,
+    pub ratio: f64,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            reserve: 5.0,
+            capacity: 5.0,
             per_second: 0.1,
-            share: 0.1,
+            ratio: 0.1,
         }
     }
 }
@@ -41,7 +41,7 @@
     #[must_use]
     pub fn new(cfg: Settings, now: Instant) -> Self {
         Self {
-            balance: cfg.reserve,
+            balance: cfg.capacity,
             cfg,
             filled_at: now,
         }
@@ -49,7 +49,7 @@
 
     /// Counts a first try.
     pub fn record_call(&mut self) {
-        self.deposit(self.cfg.share);
+        self.deposit(self.cfg.ratio);
     }
 
     /// Whether there is a retry in the budget.
@@ -70,7 +70,7 @@
     }
 
     fn deposit(&mut self, retries: f64) {
-        self.balance = (self.balance + retries).min(self.cfg.reserve);
+        self.balance = (self.balance + retries).min(self.cfg.capacity);
     }
 
     fn idle_since(&self, now: Instant) -> Duration {
@@ -79,7 +79,7 @@
 }
 
 /// How long the budget of an unused destination is kept.
-const IDLE_KEPT: Duration = Duration::from_secs(600);
+const IDLE_TTL: Duration = Duration::from_secs(600);
 
 /// Budgets by destination.
 #[derive(Clone, Debug, Default)]
@@ -99,11 +99,11 @@
     }
 
     /// Changes how many retries are saved up at most, in all budgets.
-    pub fn set_reserve(&mut self, reserve: f64) {
-        self.cfg.reserve = reserve;
+    pub fn set_capacity(&mut self, capacity: f64) {
+        self.cfg.capacity = capacity;
         for budget in self.budgets.values_mut() {
-            budget.cfg.reserve = reserve;
-            budget.balance = budget.balance.min(reserve);
+            budget.cfg.capacity = capacity;
+            budget.balance = budget.balance.min(capacity);
         }
     }
 
@@ -112,7 +112,7 @@
     pub fn get(&mut self, destination: &str, now: Instant) -> &mut RetryBudget {
         if !self.budgets.contains_key(destination) {
             self.budgets
-                .retain(|_, budget| budget.idle_since(now) < IDLE_KEPT);
+                .retain(|_, budget| budget.idle_since(now) < IDLE_TTL);
         }
         self.budgets
             .entry(destination.to_owned())
--- a/crates/lilaccrank/src/rules/matching.rs
+++ b/crates/lilaccrank/src/rules/matching.rs
@@ -8,7 +8,7 @@
 
 use super::candidates::Candidates;
 use super::condition::{self, Environment, Subject};
-use crate::document::{Document, Limit, Rule, Share, Terms, Then, When};
+use crate::document::{Document, Limit, Rule, Terms, Then, WeightedPool, When};
 use crate::error_kind::ErrorKind;
 use crate::ids::{CustomerId, DataCentre, PoolId, RuleId, Tier};
 use crate::request::Facts;
@@ -117,7 +117,7 @@
 struct Template {
     limit: Option<Limit>,
     /// Where it goes, never empty.
-    pools: Vec<Share>,
+    pools: Vec<WeightedPool>,
     spill: Vec<DataCentre>,
     terms: Terms,
     tier: Option<Tier>,
@@ -195,7 +195,7 @@
             let reason = format!("customer {} is not in the configuration", facts.customer);
             return Err(refusal(ErrorKind::Unauthorized, reason));
         };
-        match facts.tier_wish {
+        match facts.requested_tier {
             Some(wish) if allowed.contains(&wish) => Ok(wish),
             Some(wish) => {
                 let name = self.tier_name(wish).unwrap_or("unknown");
@@ -263,15 +263,19 @@
 }
 
 /// Where a rule sends: its pool, or those of its split.
-fn destinations(then: &Then) -> Vec<Share> {
-    let pool = then.pool.iter().map(|pool| Share {
+fn destinations(then: &Then) -> Vec<WeightedPool> {
+    let pool = then.pool.iter().map(|pool| WeightedPool {
         pool: pool.clone(),
         weight: 1,
     });
     pool.chain(then.split.iter().cloned()).collect()
 }
 
-fn existing(rule: &Rule, shares: Vec<Share>, pools: &IndexSet<&str>) -> Result<Vec<Share>> {
+fn existing(
+    rule: &Rule,
+    shares: Vec<WeightedPool>,
+    pools: &IndexSet<&str>,
+) -> Result<Vec<WeightedPool>> {
     let unknown = shares
         .iter()
         .find(|share| !pools.contains(share.pool.as_str()));
@@ -285,7 +289,7 @@
 }
 
 /// The pool that `draw` falls on, each as often as its weight says.
-fn drawn(pools: &[Share], draw: u32) -> PoolId {
+fn drawn(pools: &[WeightedPool], draw: u32) -> PoolId {
     let sum: u32 = pools.iter().map(|share| share.weight).sum();
     let mut left = draw % sum.max(1);
     for share in pools {
--- a/crates/lilaccrank/src/stream_progress.rs
+++ b/crates/lilaccrank/src/stream_progress.rs
@@ -33,7 +33,7 @@
     }
 
     /// Counts tokens that arrived.
-    pub fn received(&mut self, tokens: u32, now: Instant) {
+    pub fn record_tokens(&mut self, tokens: u32, now: Instant) {
         self.first_token_at.get_or_insert(now);
         self.tokens = self.tokens.saturating_add(tokens);
     }
@@ -46,7 +46,7 @@
 
     /// Expected time to the end of the answer at its pace so far, if that is later than its deadline.
     #[must_use]
-    pub fn projected_overrun(&self, now: Instant) -> Option<Duration> {
+    pub fn remaining_time_if_late(&self, now: Instant) -> Option<Duration> {
         let (deadline, first_token_at) = (self.deadline?, self.first_token_at?);
         let elapsed = now.saturating_duration_since(first_token_at).as_secs_f64();
         let seconds_per_token = elapsed / f64::from(self.tokens.max(1));
--- a/crates/lilaccrank/src/timeline.rs
+++ b/crates/lilaccrank/src/timeline.rs
@@ -95,7 +95,10 @@
     }
 
     fn wall_ms(&self) -> u64 {
-        let since = self.clock.wall().duration_since(SystemTime::UNIX_EPOCH);
+        let since = self
+            .clock
+            .wall_time()
+            .duration_since(SystemTime::UNIX_EPOCH);
         since.map_or(0, |wall| {
             u64::try_from(wall.as_millis()).unwrap_or(u64::MAX)
         })
--- a/crates/lilaccrank/tests/suite.rs
+++ b/crates/lilaccrank/tests/suite.rs
@@ -6,8 +6,8 @@
 mod attempts;
 #[path = "suite/cells.rs"]
 mod cells;
-#[path = "suite/circuit.rs"]
-mod circuit;
+#[path = "suite/circuit_breaker.rs"]
+mod circuit_breaker;
 #[path = "suite/cluster.rs"]
 mod cluster;
 #[path = "suite/configuration_adoption.rs"]
@@ -56,6 +56,8 @@
 mod dispatch_waits;
 #[path = "suite/error_kind.rs"]
 mod error_kind;
+#[path = "suite/fake_network.rs"]
+mod fake_network;
 #[path = "suite/fake_store.rs"]
 mod fake_store;
 #[path = "suite/guarded_store.rs"]
@@ -104,5 +106,3 @@
 mod seeded;
 #[path = "suite/timeline.rs"]
 mod timeline;
-#[path = "suite/wire.rs"]
-mod wire;
--- a/crates/lilaccrank/tests/suite/attempts.rs
+++ b/crates/lilaccrank/tests/suite/attempts.rs
@@ -1,72 +1,81 @@
 //! When a request that failed at a target is sent to another one.
 
-use lilaccrank::attempts::{Allowed, Attempts, Failure};
+use lilaccrank::attempts::{Attempts, Failure, RetryPolicy};
 
-const ONCE: Allowed = Allowed {
+const NON_IDEMPOTENT: RetryPolicy = RetryPolicy {
     idempotent: false,
     resumable: false,
-    runs: 1,
+    max_runs: 1,
 };
-const REPEATABLE: Allowed = Allowed {
+const IDEMPOTENT: RetryPolicy = RetryPolicy {
     idempotent: true,
     resumable: false,
-    runs: 2,
+    max_runs: 2,
 };
-const RESUMABLE: Allowed = Allowed {
+const RESUMABLE: RetryPolicy = RetryPolicy {
     idempotent: true,
     resumable: true,
-    runs: 2,
+    max_runs: 2,
 };
 
 /// What a request allows, how its sends fail one after the other, and whether each may be
 /// followed by another.
-macro_rules! sends {
-    ($name:ident, $allowed:expr, $([$failure:ident, $again:literal]),+) => {
+macro_rules! retry_cases {
+    ($name:ident, $policy:expr, $([$failure:ident, $may_retry:literal]),+) => {
         #[test]
         fn $name() {
-            let mut attempts = Attempts::new($allowed);
-            $(assert_eq!(attempts.failed(Failure::$failure), $again, stringify!($failure));)+
+            let mut attempts = Attempts::new($policy);
+            $(assert_eq!(attempts.record_failure(Failure::$failure), $may_retry, stringify!($failure));)+
         }
     };
 }
 
 // A doubled job card sends two trucks up the same hill: what may have run is not sent again, while
 // a target that says it did not run it costs nothing but the way.
-sends!(once_and_maybe_run, ONCE, [Failed, false]);
-sends!(once_and_broken_off, ONCE, [BrokenOff, false]);
-sends!(once_and_not_run, ONCE, [NotRun, true], [Failed, false]);
-sends!(
-    once_and_unsent,
-    ONCE,
+retry_cases!(non_idempotent_may_have_run, NON_IDEMPOTENT, [Failed, false]);
+retry_cases!(
+    non_idempotent_interrupted,
+    NON_IDEMPOTENT,
+    [BrokenOff, false]
+);
+retry_cases!(
+    non_idempotent_not_run,
+    NON_IDEMPOTENT,
+    [NotRun, true],
+    [Failed, false]
+);
+retry_cases!(
+    non_idempotent_unsent,
+    NON_IDEMPOTENT,
     [Unsent, true],
     [Unsent, true],
     [Unsent, false]
 );
-sends!(
-    repeatable_and_failed,
-    REPEATABLE,
+retry_cases!(
+    idempotent_may_have_run,
+    IDEMPOTENT,
     [Failed, true],
     [Failed, false]
 );
-sends!(repeatable_and_broken_off, REPEATABLE, [BrokenOff, false]);
-sends!(
-    resumable_and_broken_off,
+retry_cases!(idempotent_interrupted, IDEMPOTENT, [BrokenOff, false]);
+retry_cases!(
+    resumable_interrupted,
     RESUMABLE,
     [BrokenOff, true],
     [BrokenOff, false]
 );
 // Targets that all refuse are full; asking each of them in turn would keep the caller waiting.
-sends!(
+retry_cases!(
     refused_by_all,
-    REPEATABLE,
+    IDEMPOTENT,
     [NotRun, true],
     [NotRun, true],
     [NotRun, false]
 );
 // Sends that did not run leave the runs that the request may have.
-sends!(
-    refused_then_failed,
-    REPEATABLE,
+retry_cases!(
+    refused_then_may_have_run,
+    IDEMPOTENT,
     [NotRun, true],
     [Failed, true],
     [Failed, false]
@@ -76,20 +85,20 @@
 // that nothing ran.
 #[test]
 fn an_earlier_run_is_remembered() {
-    let mut attempts = Attempts::new(REPEATABLE);
+    let mut attempts = Attempts::new(IDEMPOTENT);
     assert!(!attempts.is_repeat());
-    attempts.failed(Failure::Failed);
-    attempts.failed(Failure::NotRun);
+    attempts.record_failure(Failure::Failed);
+    attempts.record_failure(Failure::NotRun);
     assert!(attempts.is_repeat());
     assert!(attempts.may_have_run());
 }
 
 // A request that no target had begun did not run, however often it was sent.
 #[test]
-fn sends_in_vain_are_no_runs() {
-    let mut attempts = Attempts::new(REPEATABLE);
-    attempts.failed(Failure::NotRun);
-    attempts.failed(Failure::Unsent);
+fn unexecuted_sends_are_not_runs() {
+    let mut attempts = Attempts::new(IDEMPOTENT);
+    attempts.record_failure(Failure::NotRun);
+    attempts.record_failure(Failure::Unsent);
     assert!(attempts.is_repeat());
     assert!(!attempts.may_have_run());
 }
--- a/crates/lilaccrank/tests/suite/cells.rs
+++ b/crates/lilaccrank/tests/suite/cells.rs
@@ -18,10 +18,10 @@
 }
 
 /// Names of the targets that a cell keeps.
-fn kept(cell: &Cell, all: &[Target]) -> IndexSet<String> {
-    let mut kept = all.to_vec();
-    cell.keep_targets(&mut kept);
-    kept.into_iter().map(|target| target.id).collect()
+fn retained_ids(cell: &Cell, all: &[Target]) -> IndexSet<String> {
+    let mut retained_ids = all.to_vec();
+    cell.retain_targets(&mut retained_ids);
+    retained_ids.into_iter().map(|target| target.id).collect()
 }
 
 fn cells(vms: &[String]) -> Vec<Cell> {
@@ -29,30 +29,33 @@
 }
 
 /// A fleet of daemons on targets: fewest and most daemons in a cell, fewest and most targets.
-macro_rules! sizes {
-    ($name:ident, $vms:literal on $targets:literal, $daemons:expr, $kept:expr) => {
+macro_rules! cell_sizes {
+    ($name:ident, $vms:literal on $targets:literal, $daemons:expr, $retained_ids:expr) => {
         #[test]
         fn $name() {
             let all = targets($targets);
             for cell in cells(&vms($vms)) {
-                let daemons = cell.mates().len() + 1;
+                let daemons = cell.peers().len() + 1;
                 assert!($daemons.contains(&daemons), "{daemons} daemons");
-                let kept = kept(&cell, &all).len();
-                assert!($kept.contains(&kept), "{kept} targets");
+                let retained_ids = retained_ids(&cell, &all).len();
+                assert!(
+                    $retained_ids.contains(&retained_ids),
+                    "{retained_ids} targets"
+                );
             }
         }
     };
 }
 
-sizes!(a_daemon_alone, 1 on 3, 1..=1, 3..=3);
-sizes!(a_small_fleet_is_not_divided, 15 on 40, 15..=15, 40..=40);
-sizes!(two_cells, 17 on 18, 8..=9, 9..=9);
-sizes!(cells_of_a_grown_fleet, 75 on 90, 9..=10, 11..=12);
-sizes!(cells_of_the_size_to_come, 700 on 6_700, 10..=11, 104..=105);
+cell_sizes!(a_daemon_alone, 1 on 3, 1..=1, 3..=3);
+cell_sizes!(a_small_fleet_is_not_divided, 15 on 40, 15..=15, 40..=40);
+cell_sizes!(two_cells, 17 on 18, 8..=9, 9..=9);
+cell_sizes!(cells_of_a_grown_fleet, 75 on 90, 9..=10, 11..=12);
+cell_sizes!(cells_of_a_large_fleet, 700 on 6_700, 10..=11, 104..=105);
 // Three instances of a plain service serve a whole fleet: divided, each cell would have none.
-sizes!(few_targets_are_for_all, 75 on 3, 9..=10, 3..=3);
-sizes!(a_pool_is_divided_less, 75 on 13, 9..=10, 6..=7);
-sizes!(no_targets, 75 on 0, 9..=10, 0..=0);
+cell_sizes!(few_targets_are_shared_by_all_cells, 75 on 3, 9..=10, 3..=3);
+cell_sizes!(a_pool_is_divided_less, 75 on 13, 9..=10, 6..=7);
+cell_sizes!(no_targets, 75 on 0, 9..=10, 0..=0);
 
 quickcheck! {
     // A target that is in nobody's cell gets no work; daemons of a cell that saw other targets
@@ -61,14 +64,14 @@
         let vms = vms(usize::from(daemons.max(1)));
         let all = targets(usize::from(count));
         let cells = cells(&vms);
-        let shares: Vec<_> = cells.iter().map(|cell| kept(cell, &all)).collect();
+        let retained: Vec<_> = cells.iter().map(|cell| retained_ids(cell, &all)).collect();
         let agree = |(at, cell): (usize, &Cell)| {
             vms.iter().enumerate().all(|(other, vm)| {
-                !cell.mates().contains(vm)
-                    || cells[other].mates().contains(&vms[at]) && shares[other] == shares[at]
+                !cell.peers().contains(vm)
+                    || cells[other].peers().contains(&vms[at]) && retained[other] == retained[at]
             })
         };
-        let served: IndexSet<_> = shares.iter().flatten().collect();
+        let served: IndexSet<_> = retained.iter().flatten().collect();
         cells.iter().enumerate().all(agree) && served.len() == all.len()
     }
 }
@@ -76,40 +79,43 @@
 // A daemon dies. All others learn it within seconds of each other and divide the fleet anew: if
 // most of them got other mates and targets, what they knew of loads and speeds would be lost.
 #[test]
-fn a_death_moves_few() {
+fn removed_daemon_moves_few_assignments() {
     let all = targets(90);
     let before = vms(75);
-    let mut kept_targets = 0;
-    let mut kept_mates = 0;
+    let mut stable_targets = 0;
+    let mut stable_peers = 0;
     for gone in 0..10 {
         let mut after = before.clone();
         after.remove(gone);
         for me in &after {
             let (old, new) = (Cell::new(&before, me), Cell::new(&after, me));
-            kept_targets += usize::from(kept(&old, &all) == kept(&new, &all));
-            let missing = old.mates().difference(new.mates()).count();
-            kept_mates += usize::from(missing <= 1);
+            stable_targets += usize::from(retained_ids(&old, &all) == retained_ids(&new, &all));
+            let missing = old.peers().difference(new.peers()).count();
+            stable_peers += usize::from(missing <= 1);
         }
     }
-    let looked = 10 * 74;
+    let comparisons = 10 * 74;
     assert!(
-        kept_targets * 10 >= looked * 9,
-        "{kept_targets} of {looked}"
+        stable_targets * 10 >= comparisons * 9,
+        "{stable_targets} of {comparisons}"
+    );
+    assert!(
+        stable_peers * 10 >= comparisons * 9,
+        "{stable_peers} of {comparisons}"
     );
-    assert!(kept_mates * 10 >= looked * 9, "{kept_mates} of {looked}");
 }
 
 // Many daemons are killed at once, and two cells become one. Whatever cell a daemon is in then, it
 // holds all targets of the one that it had, or it is another one altogether; a third way would
 // leave all daemons with targets that half of their mates know nothing of.
 #[test]
-fn cells_join_whole() {
+fn cells_merge_whole() {
     let all = targets(90);
     let before = vms(64);
     let after = &before[..48];
     for me in after {
-        let known = kept(&Cell::new(&before, me), &all);
-        let now = kept(&Cell::new(after, me), &all);
+        let known = retained_ids(&Cell::new(&before, me), &all);
+        let now = retained_ids(&Cell::new(after, me), &all);
         let lost = known.difference(&now).count();
         assert!(
             lost == 0 || lost == known.len(),
--- a/crates/lilaccrank/tests/suite/circuit.rs
+++ b/crates/lilaccrank/tests/suite/circuit_breaker.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use lilaccrank::circuit::{Circuit, Permit, Settings};
+use lilaccrank::circuit_breaker::{CircuitBreaker, Permit, Settings};
 use lilaccrank::paused_clock::PausedClock;
 
-fn permit(circuit: &Circuit<PausedClock>) -> Permit<PausedClock> {
+fn permit(circuit: &CircuitBreaker<PausedClock>) -> Permit<PausedClock> {
     circuit.permit().expect("lets calls through")
 }
 
-fn opened(clock: &PausedClock) -> Circuit<PausedClock> {
-    let circuit = Circuit::new(Settings::default(), clock.clone());
+fn open_circuit(clock: &PausedClock) -> CircuitBreaker<PausedClock> {
+    let circuit = CircuitBreaker::new(Settings::default(), clock.clone());
     for _ in 0..4 {
         permit(&circuit).failed(Duration::ZERO);
     }
@@ -19,7 +19,7 @@
 
 #[test]
 fn opens_by_the_rate_of_failures() {
-    let circuit = Circuit::new(Settings::default(), PausedClock::new());
+    let circuit = CircuitBreaker::new(Settings::default(), PausedClock::new());
     for _ in 0..10 {
         permit(&circuit).succeeded();
     }
@@ -33,7 +33,7 @@
 #[test]
 fn old_failures_do_not_count() {
     let clock = PausedClock::new();
-    let circuit = Circuit::new(Settings::default(), clock.clone());
+    let circuit = CircuitBreaker::new(Settings::default(), clock.clone());
     for _ in 0..3 {
         permit(&circuit).failed(Duration::ZERO);
     }
@@ -47,7 +47,7 @@
 #[test]
 fn one_trial_at_a_time() {
     let clock = PausedClock::new();
-    let circuit = opened(&clock);
+    let circuit = open_circuit(&clock);
     clock.advance(Duration::from_secs(1));
     let trial = permit(&circuit);
     assert!(trial.is_trial());
@@ -59,9 +59,9 @@
 // The caller that makes the trial goes away before the answer. The circuit must not wait for
 // that outcome for ever.
 #[test]
-fn trial_without_outcome_is_made_again() {
+fn trial_without_outcome_is_repeated() {
     let clock = PausedClock::new();
-    let circuit = opened(&clock);
+    let circuit = open_circuit(&clock);
     clock.advance(Duration::from_secs(1));
     drop(permit(&circuit));
     assert!(permit(&circuit).is_trial());
--- a/crates/lilaccrank/tests/suite/cluster.rs
+++ b/crates/lilaccrank/tests/suite/cluster.rs
@@ -9,8 +9,8 @@
 use lilaccrank::membership::{self, Member, Membership, Settings, State};
 use lilaccrank::paused_clock::PausedClock;
 
-use crate::process::{Power, Process};
-use crate::wire::Wire;
+use crate::fake_network::FakeNetwork;
+use crate::process::{FakeProcess, ProcessState};
 
 /// Time advances in steps of this length.
 const STEP: Duration = Duration::from_millis(10);
@@ -19,12 +19,12 @@
     clock: PausedClock,
     pub daemons: Vec<Daemon>,
     pool: LocalPool,
-    pub wire: Wire,
+    pub network: FakeNetwork,
 }
 
 pub struct Daemon {
     pub membership: Membership,
-    process: Process,
+    process: FakeProcess,
 }
 
 pub fn address(index: usize) -> SocketAddr {
@@ -45,13 +45,14 @@
             clock: PausedClock::new(),
             daemons: Vec::new(),
             pool: LocalPool::new(),
-            wire: Wire::new(7),
+            network: FakeNetwork::new(7),
         };
         for index in 0..count {
             let daemon = cluster.start(vm(index), index, 1_000);
             cluster.daemons.push(daemon);
         }
-        let joined = cluster.until(20_000, |c| (0..count).all(|i| c.live(i).len() == count));
+        let joined =
+            cluster.advance_until(20_000, |c| (0..count).all(|i| c.live(i).len() == count));
         assert!(joined.is_some(), "not all of {count} joined");
         cluster.advance(2_000);
         cluster
@@ -67,11 +68,11 @@
             state: State::Live,
             vm,
         };
-        let socket = self.wire.socket(address(index));
+        let socket = self.network.socket(address(index));
         let (membership, gossip) =
             membership::new(Settings::default(), me, self.clock.clone(), socket);
         membership.set_seeds(vec![address(0)]);
-        let process = Process::new();
+        let process = FakeProcess::new();
         let spawner = self.pool.spawner();
         spawner
             .spawn_local(process.clone().run(gossip.run()))
@@ -90,11 +91,11 @@
     }
 
     pub fn advance(&mut self, ms: u64) {
-        self.until(ms, |_| false);
+        self.advance_until(ms, |_| false);
     }
 
     /// Advances until `done`; returns the milliseconds that took, `None` if `limit_ms` passed.
-    pub fn until(&mut self, limit_ms: u64, done: impl Fn(&Self) -> bool) -> Option<u64> {
+    pub fn advance_until(&mut self, limit_ms: u64, done: impl Fn(&Self) -> bool) -> Option<u64> {
         let begun = self.clock.elapsed();
         loop {
             self.pool.run_until_stalled();
@@ -110,16 +111,16 @@
     }
 
     pub fn kill(&mut self, index: usize) {
-        self.daemons[index].process.set(Power::Killed);
-        self.wire.close(address(index));
+        self.daemons[index].process.set_state(ProcessState::Killed);
+        self.network.close(address(index));
     }
 
     pub fn freeze(&self, index: usize) {
-        self.daemons[index].process.set(Power::Frozen);
+        self.daemons[index].process.set_state(ProcessState::Frozen);
     }
 
     pub fn thaw(&self, index: usize) {
-        self.daemons[index].process.set(Power::Running);
+        self.daemons[index].process.set_state(ProcessState::Running);
     }
 
     /// Names of the members that daemon `index` would give duties to.
--- a/crates/lilaccrank/tests/suite/dispatch_affinity.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_affinity.rs
@@ -5,7 +5,7 @@
 
 use lilaccrank::dispatch::message::{Ask, CacheEvent};
 use lilaccrank::prompt;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::dispatch_cases::{FIRST_TOKEN, ask, granted, harness};
 use crate::dispatch_harness::Harness;
@@ -15,7 +15,7 @@
 #[test]
 fn a_gap_drops_the_belief() {
     let harness = harness(&[8, 8]);
-    let target = TargetLife::from("t1");
+    let target = TargetInstance::from("t1");
     let stored: Vec<CacheEvent> = (0..8).map(CacheEvent::Stored).collect();
     harness.dispatcher.cache_events(&target, 1, &stored);
     let cached = |harness: &Harness| harness.dispatcher.status().targets[1].cached_blocks;
@@ -34,7 +34,7 @@
 #[test]
 fn a_small_gap_drops_little() {
     let harness = harness(&[8, 8]);
-    let target = TargetLife::from("t1");
+    let target = TargetInstance::from("t1");
     let stored = |sequence: u64| {
         let events = [CacheEvent::Stored(sequence)];
         harness.dispatcher.cache_events(&target, sequence, &events);
@@ -57,7 +57,7 @@
 fn a_prefix_in_reading_is_waited_for() {
     let mut harness = harness(&[8, 8]);
     let survey = |request: &str, seed: u8, tier: u8| Ask {
-        prefix: prompt::digests(&[seed; 2000], 64),
+        prefix: prompt::block_prefix_digests(&[seed; 2000], 64),
         prompt_tokens: 2000,
         ..ask(request, tier)
     };
@@ -84,7 +84,7 @@
 #[test]
 fn affinity_yields_to_load() {
     let mut harness = harness(&[64, 64]);
-    let prefix = prompt::digests(&[7; 2000], 64);
+    let prefix = prompt::block_prefix_digests(&[7; 2000], 64);
     let shared = |i: u32| Ask {
         prefix: prefix.clone(),
         prompt_tokens: 2000,
@@ -112,12 +112,12 @@
 fn an_ask_waits_for_its_holder_a_while() {
     let mut harness = harness(&[2, 2]);
     let shared = |request: &str, tier: u8| Ask {
-        prefix: prompt::digests(&[7; 2000], 64),
+        prefix: prompt::block_prefix_digests(&[7; 2000], 64),
         prompt_tokens: 2000,
         ..ask(request, tier)
     };
     for request in ["x", "y"] {
-        let exclusions = vec![TargetLife::from("t1")];
+        let exclusions = vec![TargetInstance::from("t1")];
         let ask = shared(request, 0);
         harness.ask(Ask { exclusions, ..ask });
         harness.report(request, "t0", FIRST_TOKEN);
@@ -142,7 +142,7 @@
 #[test]
 fn beliefs_are_bounded() {
     let harness = harness(&[8]);
-    let target = TargetLife::from("t0");
+    let target = TargetInstance::from("t0");
     let stored: Vec<CacheEvent> = (0..10_000).map(CacheEvent::Stored).collect();
     harness.dispatcher.cache_events(&target, 1, &stored);
     assert_eq!(harness.dispatcher.status().targets[0].cached_blocks, 4096);
--- a/crates/lilaccrank/tests/suite/dispatch_cases.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_cases.rs
@@ -6,7 +6,7 @@
 use lilaccrank::dispatch::sharing::{Digest, TargetLoad};
 use lilaccrank::document::Limit;
 use lilaccrank::error_kind::ErrorKind;
-use lilaccrank::target_life::{LifeDigest, TargetLife};
+use lilaccrank::target_instance::{InstanceDigest, TargetInstance};
 
 use crate::dispatch_harness::{self, Harness};
 
@@ -71,8 +71,8 @@
 }
 
 /// What stands for a target in a digest.
-pub fn of(target: &str) -> LifeDigest {
-    TargetLife::from(target).digest()
+pub fn of(target: &str) -> InstanceDigest {
+    TargetInstance::from(target).digest()
 }
 
 /// A digest of a peer that has `running` short requests on a target.
--- a/crates/lilaccrank/tests/suite/dispatch_faults.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_faults.rs
@@ -7,7 +7,7 @@
 use lilaccrank::dispatch::message::{Ask, ReportKind, Resync, Running, Verdict};
 use lilaccrank::document::TargetState;
 use lilaccrank::error_kind::ErrorKind;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::dispatch_cases::{
     CONCURRENCY, FIRST_TOKEN, FLOOR, ask, entry, granted, harness, limited, refused, survey,
@@ -253,7 +253,7 @@
     let running = Running {
         ask: ask("r", 0),
         decoded: Some(3),
-        target: TargetLife::from("t0"),
+        target: TargetInstance::from("t0"),
     };
     harness.dispatcher.resync(Resync {
         entry: entry("vm2"),
--- a/crates/lilaccrank/tests/suite/dispatch_harness.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_harness.rs
@@ -12,7 +12,7 @@
 use lilaccrank::document::{Pool, Target, TargetState};
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::paused_clock::PausedClock;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 pub const DATA_CENTRE: &str = "portmore";
 pub const LOWEST_TIER: u8 = 3;
@@ -130,7 +130,7 @@
             ask: 1,
             kind,
             request: request.to_owned(),
-            target: TargetLife::from(target),
+            target: TargetInstance::from(target),
         });
     }
 
--- a/crates/lilaccrank/tests/suite/dispatch_inputs.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_inputs.rs
@@ -4,7 +4,7 @@
 
 use lilaccrank::dispatch::message::{Ask, LoadReport, ReportKind};
 use lilaccrank::dispatch::sharing::{Digest, Sample, Seen, TargetLoad};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use quickcheck::{Arbitrary, Gen};
 
 use crate::dispatch_cases::{ask, harness};
@@ -30,7 +30,7 @@
         let load = |g: &mut Gen| TargetLoad {
             prefill: extreme(g),
             running: extreme(g) as u32,
-            target: TargetLife::from("t0").digest(),
+            target: TargetInstance::from("t0").digest(),
         };
         let sample = |g: &mut Gen| Sample {
             seen: match u8::arbitrary(g) % 3 {
@@ -44,12 +44,12 @@
                 },
                 _ => Seen::Failed,
             },
-            target: TargetLife::from("t0").digest(),
+            target: TargetInstance::from("t0").digest(),
         };
         Self(Digest {
             loads: (0..3).map(|_| load(g)).collect(),
             samples: (0..3).map(|_| sample(g)).collect(),
-            sent: vec![(TargetLife::from("t0").digest(), extreme(g) as u32)],
+            sent: vec![(TargetInstance::from("t0").digest(), extreme(g) as u32)],
             waiting: None,
             whole: bool::arbitrary(g),
         })
@@ -100,7 +100,7 @@
         let report = LoadReport { running, waiting };
         harness
             .dispatcher
-            .load_report(&TargetLife::from("t0"), report);
+            .load_report(&TargetInstance::from("t0"), report);
         harness.ask(ask("a", 0));
         let step = Duration::from_millis(step);
         harness.report("a", "t0", ReportKind::FirstToken { after: step });
--- a/crates/lilaccrank/tests/suite/dispatch_lives.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_lives.rs
@@ -5,7 +5,7 @@
 use lilaccrank::dispatch::health::State;
 use lilaccrank::dispatch::message::{CacheEvent, ReportKind};
 use lilaccrank::dispatch::sharing::{Digest, Sample, Seen, TargetLoad};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::dispatch_cases::{ask, granted, harness};
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
@@ -14,7 +14,7 @@
 
 /// The only target starts again.
 fn start_again(harness: &mut Harness) {
-    harness.pool.targets[0].born += BORN;
+    harness.pool.targets[0].started_ms += BORN;
     harness.dispatcher.set_targets(&harness.pool, DATA_CENTRE);
 }
 
@@ -41,7 +41,7 @@
 fn what_peers_have_on_the_old_life_does_not_count() {
     let mut harness = harness(&[1]);
     start_again(&mut harness);
-    let old = TargetLife::from("t0").digest();
+    let old = TargetInstance::from("t0").digest();
     let hung = Digest {
         loads: vec![TargetLoad {
             prefill: 1_000,
@@ -69,7 +69,7 @@
 #[test]
 fn nothing_known_outlives_a_target() {
     let mut harness = harness(&[8]);
-    let life = TargetLife::from("t0");
+    let life = TargetInstance::from("t0");
     let fresh = harness.dispatcher.status().targets[0].clone();
     for number in 0..40 {
         let request = format!("r{number}");
@@ -106,7 +106,7 @@
     harness.verdicts();
     start_again(&mut harness);
     let before = harness.dispatcher.status().targets.clone();
-    let old = TargetLife::from("t0");
+    let old = TargetInstance::from("t0");
     harness
         .dispatcher
         .cache_events(&old, 1, &[CacheEvent::Stored(7)]);
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -7,7 +7,7 @@
 use lilaccrank::dispatch::status::TargetStatus;
 use lilaccrank::document::TargetState;
 use lilaccrank::error_kind::ErrorKind;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 use crate::dispatch_harness::{self, Harness};
@@ -206,7 +206,10 @@
             let kept = if urgent { 0 } else { t.slots / 8 };
             on(&t.id).count() as u32 + kept < t.slots
                 && unread(&t.id).sum::<u32>() < 8192
-                && !waiting.ask.exclusions.contains(&TargetLife::from(&*t.id))
+                && !waiting
+                    .ask
+                    .exclusions
+                    .contains(&TargetInstance::from(&*t.id))
         });
         open.map(|t| t.id.clone()).collect()
     }
@@ -287,7 +290,7 @@
             ask.customer = format!("c{customer}");
             ask.exclusions = exclude
                 .iter()
-                .map(|i| TargetLife::from(&*format!("t{i}")))
+                .map(|i| TargetInstance::from(&*format!("t{i}")))
                 .collect();
             ask.max_tokens = u32::from(*max_tokens);
             ask.prompt_tokens = if *long { LONG } else { ask.prompt_tokens };
@@ -299,7 +302,7 @@
                 .filter(|t| t.state == TargetState::Live);
             if live
                 .clone()
-                .any(|t| !ask.exclusions.contains(&TargetLife::of(t)))
+                .any(|t| !ask.exclusions.contains(&TargetInstance::of(t)))
             {
                 naive.arrive(ask.clone());
             }
--- a/crates/lilaccrank/tests/suite/dispatch_resumed.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_resumed.rs
@@ -108,9 +108,9 @@
     let at = |secs: u64| start + Duration::from_secs(secs);
     let projected_overrun = |deadline: u64| {
         let mut progress = StreamProgress::new(0, Some(at(deadline)));
-        progress.received(1, start);
-        progress.received(399, at(4));
-        progress.projected_overrun(at(4))
+        progress.record_tokens(1, start);
+        progress.record_tokens(399, at(4));
+        progress.remaining_time_if_late(at(4))
     };
     assert_eq!(projected_overrun(7), Some(Duration::from_secs(4)));
     assert_eq!(projected_overrun(9), None);
@@ -122,10 +122,10 @@
     let now = Instant::now();
     let late = now + Duration::from_secs(60);
     assert_eq!(
-        StreamProgress::new(0, Some(now)).projected_overrun(late),
+        StreamProgress::new(0, Some(now)).remaining_time_if_late(late),
         None
     );
     let mut endless = StreamProgress::new(0, None);
-    endless.received(10, now);
-    assert_eq!(endless.projected_overrun(late), None);
+    endless.record_tokens(10, now);
+    assert_eq!(endless.remaining_time_if_late(late), None);
 }
--- a/crates/lilaccrank/tests/suite/dispatch_spread.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_spread.rs
@@ -40,7 +40,7 @@
 #[test]
 fn daemons_that_start_together_spread() {
     assert_eq!(most_on_one_target(|_, _| ()), 70);
-    let spread = most_on_one_target(cells::spread);
+    let spread = most_on_one_target(cells::sort_by_daemon_hash);
     assert!(spread <= 4, "{spread}");
 }
 
@@ -178,7 +178,7 @@
         let mut pool = harness.pool.clone();
         harness.pool.targets.clear();
         harness.dispatcher.set_targets(&harness.pool, DATA_CENTRE);
-        cells::spread(&mut pool.targets, &me);
+        cells::sort_by_daemon_hash(&mut pool.targets, &me);
         harness.dispatcher.set_targets(&pool, DATA_CENTRE);
         let load = |at: u64| TargetLoad {
             prefill: 2 * at,
--- a/crates/lilaccrank/tests/suite/error_kind.rs
+++ b/crates/lilaccrank/tests/suite/error_kind.rs
@@ -1,15 +1,15 @@
 //! The table from kind to answer.
 
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 
 /// A kind and the status its callers see.
 macro_rules! status {
-    ($name:ident, $kind:ident, $status:literal, $ran:ident) => {
+    ($name:ident, $kind:ident, $status:literal, $executed:ident) => {
         #[test]
         fn $name() {
-            let answer = ErrorKind::$kind.answer();
-            assert_eq!(answer.status, $status);
-            assert_eq!(answer.ran, Ran::$ran);
+            let response = ErrorKind::$kind.response();
+            assert_eq!(response.status, $status);
+            assert_eq!(response.executed, Executed::$executed);
         }
     };
 }
@@ -27,9 +27,12 @@
 }
 
 #[test]
-fn what_can_be_retried_was_not_run() {
+fn retryable_errors_were_not_executed() {
     for kind in ErrorKind::ALL {
-        let answer = kind.answer();
-        assert!(!answer.retry || answer.ran == Ran::No, "{kind}");
+        let response = kind.response();
+        assert!(
+            !response.retryable || response.executed == Executed::No,
+            "{kind}"
+        );
     }
 }
--- a/crates/lilaccrank/tests/suite/wire.rs
+++ b/crates/lilaccrank/tests/suite/fake_network.rs
@@ -15,14 +15,14 @@
 /// Datagrams that a socket holds for a process that does not read.
 const INBOX_LIMIT: usize = 256;
 /// Bytes of the IP and UDP headers.
-const HEADERS: usize = 28;
+const HEADER_BYTES: usize = 28;
 
 #[derive(Clone)]
-pub struct Wire(Rc<RefCell<Inner>>);
+pub struct FakeNetwork(Rc<RefCell<Inner>>);
 
 struct Inner {
     inboxes: IndexMap<SocketAddr, Inbox>,
-    island: HashSet<SocketAddr>,
+    isolated: HashSet<SocketAddr>,
     loss: f64,
     rng: StdRng,
     sent_bytes: usize,
@@ -35,11 +35,11 @@
     waker: Option<Waker>,
 }
 
-impl Wire {
+impl FakeNetwork {
     pub fn new(seed: u64) -> Self {
         Self(Rc::new(RefCell::new(Inner {
             inboxes: IndexMap::new(),
-            island: HashSet::new(),
+            isolated: HashSet::new(),
             loss: 0.0,
             rng: StdRng::seed_from_u64(seed),
             sent_bytes: 0,
@@ -54,7 +54,7 @@
             .insert(address, Inbox::default());
         Socket {
             address,
-            wire: self.clone(),
+            network: self.clone(),
         }
     }
 
@@ -63,8 +63,8 @@
     }
 
     /// Cuts these addresses off from all others.
-    pub fn cut_off(&self, island: impl IntoIterator<Item = SocketAddr>) {
-        self.0.borrow_mut().island = island.into_iter().collect();
+    pub fn isolate(&self, isolated: impl IntoIterator<Item = SocketAddr>) {
+        self.0.borrow_mut().isolated = isolated.into_iter().collect();
     }
 
     pub fn set_loss(&self, loss: f64) {
@@ -84,14 +84,14 @@
 
 impl Inner {
     fn send(&mut self, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
-        self.sent_bytes += bytes.len() + HEADERS;
+        self.sent_bytes += bytes.len() + HEADER_BYTES;
         self.largest = self.largest.max(bytes.len());
-        let cut = self.island.contains(&from) != self.island.contains(&to);
+        let is_partitioned = self.isolated.contains(&from) != self.isolated.contains(&to);
         let lost = self.rng.random::<f64>() < self.loss;
         let Some(inbox) = self.inboxes.get_mut(&to) else {
             return;
         };
-        if cut || lost || inbox.queue.len() >= INBOX_LIMIT {
+        if is_partitioned || lost || inbox.queue.len() >= INBOX_LIMIT {
             return;
         }
         inbox.queue.push_back(Datagram { bytes, from });
@@ -103,13 +103,13 @@
 
 pub struct Socket {
     address: SocketAddr,
-    wire: Wire,
+    network: FakeNetwork,
 }
 
 impl Datagrams for Socket {
     async fn recv(&self) -> datagrams::Result<Datagram> {
         future::poll_fn(|cx| {
-            let mut inner = self.wire.0.borrow_mut();
+            let mut inner = self.network.0.borrow_mut();
             let Some(inbox) = inner.inboxes.get_mut(&self.address) else {
                 return Poll::Pending;
             };
@@ -123,7 +123,7 @@
     }
 
     async fn send(&self, to: SocketAddr, bytes: Vec<u8>) -> datagrams::Result<()> {
-        self.wire.0.borrow_mut().send(self.address, to, bytes);
+        self.network.0.borrow_mut().send(self.address, to, bytes);
         Ok(())
     }
 }
--- a/crates/lilaccrank/tests/suite/fake_store.rs
+++ b/crates/lilaccrank/tests/suite/fake_store.rs
@@ -15,13 +15,13 @@
 pub struct FakeStore {
     clock: PausedClock,
     pub faults: Rc<Faults>,
-    late: Rc<RefCell<Vec<LateWrite>>>,
+    delayed: Rc<RefCell<Vec<DelayedWrite>>>,
     objects: Rc<RefCell<IndexMap<String, Versioned>>>,
     revision: Rc<Cell<Version>>,
 }
 
 /// A write still under way.
-struct LateWrite {
+struct DelayedWrite {
     at: Duration,
     expect: Expect,
     key: String,
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub struct Faults {
     /// Calls fail without effect.
-    pub away: Cell<bool>,
+    pub unavailable: Cell<bool>,
     /// Times of all calls since the clock started.
     pub calls: RefCell<Vec<Duration>>,
     /// The next write takes effect only after this time; its answer is lost.
@@ -40,9 +40,9 @@
     /// The answer to the next write is lost after it took effect.
     pub lose_answer: Cell<bool>,
     /// Calls are never answered and have no effect.
-    pub silent: Cell<bool>,
+    pub unresponsive: Cell<bool>,
     /// The answer to the next write comes only after this time.
-    pub slow_answer: Cell<Option<Duration>>,
+    pub delay_answer: Cell<Option<Duration>>,
 }
 
 impl FakeStore {
@@ -50,7 +50,7 @@
         Self {
             clock,
             faults: Rc::default(),
-            late: Rc::default(),
+            delayed: Rc::default(),
             objects: Rc::default(),
             revision: Rc::default(),
         }
@@ -59,22 +59,22 @@
     async fn call(&self) -> Result<()> {
         let now = self.clock.elapsed();
         self.faults.calls.borrow_mut().push(now);
-        let arrived: Vec<_> = self
-            .late
+        let due: Vec<_> = self
+            .delayed
             .borrow_mut()
             .extract_if(.., |write| write.at <= now)
             .collect();
-        for LateWrite {
+        for DelayedWrite {
             expect, key, value, ..
-        } in arrived
+        } in due
         {
             // Nobody waits for its answer any more.
             let _ = self.write(&key, value, expect);
         }
-        if self.faults.silent.get() {
+        if self.faults.unresponsive.get() {
             future::pending::<()>().await;
         }
-        if self.faults.away.get() {
+        if self.faults.unavailable.get() {
             return Err(Error::Unavailable);
         }
         Ok(())
@@ -110,20 +110,20 @@
         self.call().await?;
         if let Some(delay) = self.faults.delay_write.take() {
             let at = self.clock.elapsed() + delay;
-            let write = LateWrite {
+            let write = DelayedWrite {
                 at,
                 expect,
                 key: key.to_owned(),
                 value,
             };
-            self.late.borrow_mut().push(write);
+            self.delayed.borrow_mut().push(write);
             return Err(Error::Unknown);
         }
         let written = self.write(key, value, expect)?;
         if self.faults.lose_answer.take() {
             return Err(Error::Unknown);
         }
-        if let Some(delay) = self.faults.slow_answer.take() {
+        if let Some(delay) = self.faults.delay_answer.take() {
             self.clock.sleep(delay).await;
         }
         Ok(written)
--- a/crates/lilaccrank/tests/suite/guarded_store.rs
+++ b/crates/lilaccrank/tests/suite/guarded_store.rs
@@ -22,8 +22,8 @@
 
 /// What the store saw, and when the last client got through.
 #[derive(Debug)]
-struct Seen {
-    busiest_100_ms_after: usize,
+struct OutageReport {
+    peak_calls_per_100_ms: usize,
     calls_in_outage: usize,
     recovered_after: Duration,
 }
@@ -42,7 +42,7 @@
     }
 }
 
-fn outage<S: Store>(guard: impl Fn(FakeStore, PausedClock) -> S) -> Seen {
+fn simulate_outage<S: Store>(guard: impl Fn(FakeStore, PausedClock) -> S) -> OutageReport {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     let mut pool = LocalPool::new();
@@ -59,24 +59,24 @@
     }
     // All in step, as daemons are that saw one event or were started together.
     advance(&mut pool, &clock, Duration::from_secs(5));
-    store.faults.away.set(true);
+    store.faults.unavailable.set(true);
     store.faults.calls.borrow_mut().clear();
     advance(&mut pool, &clock, OUTAGE);
     let calls_in_outage = store.faults.calls.take().len();
-    store.faults.away.set(false);
-    let back = clock.elapsed();
+    store.faults.unavailable.set(false);
+    let recovered_at = clock.elapsed();
     advance(&mut pool, &clock, Duration::from_millis(100));
-    while last_reads.iter().any(|read| read.get() < back) {
+    while last_reads.iter().any(|read| read.get() < recovered_at) {
         advance(&mut pool, &clock, STEP);
     }
-    Seen {
-        busiest_100_ms_after: busiest_100_ms(&store.faults.calls.borrow()),
+    OutageReport {
+        peak_calls_per_100_ms: max_calls_per_100_ms(&store.faults.calls.borrow()),
         calls_in_outage,
-        recovered_after: clock.elapsed() - back,
+        recovered_after: clock.elapsed() - recovered_at,
     }
 }
 
-fn busiest_100_ms(calls: &[Duration]) -> usize {
+fn max_calls_per_100_ms(calls: &[Duration]) -> usize {
     let window = Duration::from_millis(100);
     let count = |first: &Duration| {
         let in_window = calls
@@ -99,12 +99,13 @@
 // second each and all meet the store in the first tenth of a second of its return, which can
 // throw it down again. Guarded, each tries now and then, at its own time.
 #[test]
-fn returning_store_meets_no_stampede() {
-    let unguarded = outage(|store, _| store);
-    let guarded = outage(|store, clock| GuardedStore::new(Settings::default(), store, clock));
+fn recovering_store_is_not_overloaded() {
+    let unguarded = simulate_outage(|store, _| store);
+    let guarded =
+        simulate_outage(|store, clock| GuardedStore::new(Settings::default(), store, clock));
     println!("unguarded {unguarded:?}\nguarded {guarded:?}");
     assert!(guarded.calls_in_outage * 10 < unguarded.calls_in_outage);
-    assert!(guarded.busiest_100_ms_after * 2 < unguarded.busiest_100_ms_after);
+    assert!(guarded.peak_calls_per_100_ms * 2 < unguarded.peak_calls_per_100_ms);
     assert!(guarded.recovered_after < Duration::from_secs(10));
 }
 
@@ -132,7 +133,7 @@
 fn silent_store_opens_the_circuit() {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
-    store.faults.silent.set(true);
+    store.faults.unresponsive.set(true);
     let client = guarded(&store, &clock);
     let mut pool = LocalPool::new();
     for _ in 0..4 {
@@ -156,7 +157,7 @@
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     let client = guarded(&store, &clock);
-    store.faults.away.set(true);
+    store.faults.unavailable.set(true);
     let mut pool = LocalPool::new();
     let reader = client.clone();
     let reads = async move {
@@ -167,7 +168,7 @@
     pool.spawner().spawn_local(reads).expect("the pool runs");
     advance(&mut pool, &clock, Duration::from_secs(20));
     let watcher = client.clone();
-    store.faults.away.set(false);
+    store.faults.unavailable.set(false);
     let watch = async move { drop(watcher.watch(KEY, None, Duration::from_secs(60)).await) };
     pool.spawner().spawn_local(watch).expect("the pool runs");
     advance(&mut pool, &clock, Duration::from_secs(1));
--- a/crates/lilaccrank/tests/suite/lease.rs
+++ b/crates/lilaccrank/tests/suite/lease.rs
@@ -14,7 +14,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 use crate::fake_store::FakeStore;
-use crate::process::{Power, Process};
+use crate::process::{FakeProcess, ProcessState};
 
 const KEY: &str = "leases/orders";
 
@@ -97,7 +97,7 @@
     let store = FakeStore::new(clock.clone());
     let mut pool = LocalPool::new();
     let held = acquire("a", &store, &clock);
-    store.faults.slow_answer.set(Some(Duration::from_secs(20)));
+    store.faults.delay_answer.set(Some(Duration::from_secs(20)));
     let renewal = pool
         .spawner()
         .spawn_local_with_handle(held.renew())
@@ -181,7 +181,7 @@
     clock: PausedClock,
     last: Option<(usize, u64)>,
     pool: LocalPool,
-    processes: Vec<Process>,
+    processes: Vec<FakeProcess>,
     store: FakeStore,
     tenures: Vec<Tenure<PausedClock>>,
 }
@@ -195,7 +195,7 @@
         let mut tenures = Vec::new();
         for holder in ["a", "b", "c"] {
             let keeper = Keeper::new(candidate(holder, &store, &clock));
-            let process = Process::new();
+            let process = FakeProcess::new();
             tenures.push(keeper.tenure());
             pool.spawner()
                 .spawn_local(process.clone().run(keeper.run()))
@@ -216,12 +216,16 @@
         let faults = &self.store.faults;
         match event {
             Event::Advance(ms) => return self.advance(ms),
-            Event::Away(away) => faults.away.set(away),
+            Event::Away(away) => faults.unavailable.set(away),
             Event::DelayWrite(ms) => faults.delay_write.set(Some(millis(ms))),
             Event::LoseAnswer => faults.lose_answer.set(true),
-            Event::Pause(index) => self.processes[usize::from(index)].set(Power::Frozen),
-            Event::Resume(index) => self.processes[usize::from(index)].set(Power::Running),
-            Event::SlowAnswer(ms) => faults.slow_answer.set(Some(millis(ms))),
+            Event::Pause(index) => {
+                self.processes[usize::from(index)].set_state(ProcessState::Frozen)
+            }
+            Event::Resume(index) => {
+                self.processes[usize::from(index)].set_state(ProcessState::Running)
+            }
+            Event::SlowAnswer(ms) => faults.delay_answer.set(Some(millis(ms))),
         }
         self.holds()
     }
--- a/crates/lilaccrank/tests/suite/membership.rs
+++ b/crates/lilaccrank/tests/suite/membership.rs
@@ -16,9 +16,9 @@
         fn $name() {
             let mut cluster = Cluster::new($count);
             cluster.kill(1);
-            let known = cluster.until($limit_ms, |c| c.all_see($count - 1, Some(1)));
+            let known = cluster.advance_until($limit_ms, |c| c.all_see($count - 1, Some(1)));
             assert!(known.is_some());
-            assert!(cluster.wire.largest() <= DATAGRAM_LIMIT);
+            assert!(cluster.network.largest() <= DATAGRAM_LIMIT);
             assert_eq!(cluster.declared_dead(), 0, "a survivor was declared dead");
         }
     )*};
@@ -53,21 +53,25 @@
     let (membership, seen) = (cluster.daemons[1].membership.clone(), Rc::clone(&told));
     cluster.spawn(async move { seen.set(membership.self_was_declared_dead(0).await) });
     cluster.freeze(1);
-    let known = cluster.until(5_000, |c| {
+    let known = cluster.advance_until(5_000, |c| {
         let others = (0..count).filter(|index| *index != 1);
         let mut records = others.filter_map(|index| c.record(index, &cluster::vm(1)));
         records.any(|record| record.state == heard)
     });
     assert!(known.is_some());
     cluster.advance(100);
-    cluster.wire.cut_off([cluster::address(1)]);
+    cluster.network.isolate([cluster::address(1)]);
     cluster.advance(30_000);
     assert!(cluster.all_see(count - 1, Some(1)));
     cluster.thaw(1);
     cluster.advance(100);
-    cluster.wire.cut_off([]);
-    assert!(cluster.until(500, |_| told.get() > 0).is_some());
-    assert!(cluster.until(3_000, |c| c.all_see(count, None)).is_some());
+    cluster.network.isolate([]);
+    assert!(cluster.advance_until(500, |_| told.get() > 0).is_some());
+    assert!(
+        cluster
+            .advance_until(3_000, |c| c.all_see(count, None))
+            .is_some()
+    );
     cluster.advance(10_000);
     assert_eq!(cluster.declared_dead(), 1);
 }
@@ -91,11 +95,11 @@
 fn thawed_daemon_declares_nobody_dead() {
     let mut cluster = Cluster::new(9);
     for pause in 0..20 {
-        cluster.wire.cut_off([cluster::address(3)]);
+        cluster.network.isolate([cluster::address(3)]);
         cluster.advance(110 + 10 * pause);
         cluster.freeze(3);
         cluster.advance(5_000);
-        cluster.wire.cut_off([]);
+        cluster.network.isolate([]);
         cluster.thaw(3);
         cluster.advance(5_000);
     }
@@ -113,16 +117,16 @@
 fn old_hearsay_kills_nobody() {
     let mut cluster = Cluster::new(9);
     cluster.freeze(4);
-    let heard = cluster.until(3_000, |c| {
+    let heard = cluster.advance_until(3_000, |c| {
         c.record(5, &cluster::vm(4))
             .is_some_and(|m| m.state == State::Suspect)
     });
     assert!(heard.is_some());
     cluster.freeze(5);
-    cluster.wire.cut_off([cluster::address(5)]);
+    cluster.network.isolate([cluster::address(5)]);
     cluster.thaw(4);
     cluster.advance(10_000);
-    cluster.wire.cut_off([]);
+    cluster.network.isolate([]);
     cluster.thaw(5);
     cluster.advance(5_000);
     assert!(cluster.all_see(9, None));
@@ -138,7 +142,7 @@
         cluster.kill(victim);
         cluster.advance(300);
     }
-    let known = cluster.until(5_000, |c| {
+    let known = cluster.advance_until(5_000, |c| {
         [0, 4, 5, 6, 7, 8].into_iter().all(|i| c.live(i).len() == 6)
     });
     assert!(known.is_some());
@@ -152,12 +156,16 @@
     cluster.kill(5);
     let successor = cluster.start("vm-new".to_owned(), 5, 2_000);
     cluster.daemons[5] = successor;
-    let known = cluster.until(1_000, |c| {
+    let known = cluster.advance_until(1_000, |c| {
         let names = c.live(0);
         names.contains(&"vm-new".to_owned()) && !names.contains(&cluster::vm(5))
     });
     assert!(known.is_some());
-    assert!(cluster.until(3_000, |c| c.all_see(9, None)).is_some());
+    assert!(
+        cluster
+            .advance_until(3_000, |c| c.all_see(9, None))
+            .is_some()
+    );
 }
 
 // A daemon restarts under its own name before anybody missed it. What it held is gone, so the
@@ -173,7 +181,7 @@
                 .is_some_and(|m| m.incarnation == 2_000 && m.state == State::Live)
         })
     };
-    assert!(cluster.until(3_000, all_know).is_some());
+    assert!(cluster.advance_until(3_000, all_know).is_some());
 }
 
 // One datagram in five is lost, so one probe in three fails directly. Members that come and go
@@ -183,14 +191,14 @@
         #[test]
         fn $name() {
             let mut cluster = Cluster::new($count);
-            cluster.wire.set_loss(0.2);
+            cluster.network.set_loss(0.2);
             for _ in 0..600 {
                 cluster.advance(100);
                 assert!(cluster.all_see($count, None), "a live member was dropped");
             }
             assert_eq!(cluster.declared_dead(), 0);
             cluster.kill(1);
-            let known = cluster.until(6_000, |c| c.all_see($count - 1, Some(1)));
+            let known = cluster.advance_until(6_000, |c| c.all_see($count - 1, Some(1)));
             assert!(known.is_some());
         }
     )*};
@@ -206,13 +214,17 @@
 #[test]
 fn partition_heals() {
     let mut cluster = Cluster::new(9);
-    cluster.wire.cut_off((0..3).map(cluster::address));
+    cluster.network.isolate((0..3).map(cluster::address));
     let parted =
         |c: &Cluster| (0..3).all(|i| c.live(i).len() == 3) && (3..9).all(|i| c.live(i).len() == 6);
-    assert!(cluster.until(5_000, parted).is_some());
+    assert!(cluster.advance_until(5_000, parted).is_some());
     cluster.advance(60_000);
-    cluster.wire.cut_off([]);
-    assert!(cluster.until(10_000, |c| c.all_see(9, None)).is_some());
+    cluster.network.isolate([]);
+    assert!(
+        cluster
+            .advance_until(10_000, |c| c.all_see(9, None))
+            .is_some()
+    );
 }
 
 // A leaving daemon is given work until the others know. It tells all at once, twice, so that
@@ -220,10 +232,14 @@
 #[test]
 fn leaving_is_known_at_once() {
     let mut cluster = Cluster::new(9);
-    cluster.wire.set_loss(0.2);
+    cluster.network.set_loss(0.2);
     let membership = cluster.daemons[2].membership.clone();
     cluster.spawn(async move { membership.leave().await });
-    assert!(cluster.until(1_000, |c| c.all_see(8, None)).is_some());
+    assert!(
+        cluster
+            .advance_until(1_000, |c| c.all_see(8, None))
+            .is_some()
+    );
     let states = (0..9).map(|i| cluster.record(i, &cluster::vm(2)).map(|m| m.state));
     assert!(states.into_iter().all(|s| s == Some(State::Leaving)));
 }
@@ -239,7 +255,7 @@
         membership.leave().await;
         done.set(true);
     });
-    assert!(cluster.until(250, |_| left.get()).is_some());
+    assert!(cluster.advance_until(250, |_| left.get()).is_some());
     cluster.kill(2);
     assert!(cluster.all_see(63, Some(2)));
 }
--- a/crates/lilaccrank/tests/suite/membership_cost.rs
+++ b/crates/lilaccrank/tests/suite/membership_cost.rs
@@ -13,10 +13,10 @@
             let mut cluster = Cluster::new($count);
             cluster.advance(30_000);
             let bytes = idle_bytes_per_s(&mut cluster);
-            cluster.wire.set_loss(0.2);
+            cluster.network.set_loss(0.2);
             cluster.advance(10_000);
             let lossy = idle_bytes_per_s(&mut cluster);
-            cluster.wire.set_loss(0.0);
+            cluster.network.set_loss(0.0);
             cluster.advance(10_000);
             let mut times = detection_times(&mut cluster);
             times.sort_unstable();
@@ -40,9 +40,9 @@
 }
 
 fn idle_bytes_per_s(cluster: &mut Cluster) -> usize {
-    cluster.wire.take_sent_bytes();
+    cluster.network.take_sent_bytes();
     cluster.advance(IDLE_SECONDS as u64 * 1_000);
-    cluster.wire.take_sent_bytes() / IDLE_SECONDS / cluster.daemons.len()
+    cluster.network.take_sent_bytes() / IDLE_SECONDS / cluster.daemons.len()
 }
 
 fn detection_times(cluster: &mut Cluster) -> Vec<u64> {
@@ -51,11 +51,11 @@
     for kill in 0..KILLS {
         let victim = 1 + kill % (count - 1);
         cluster.kill(victim);
-        let known = cluster.until(10_000, |c| c.all_see(count - 1, Some(victim)));
+        let known = cluster.advance_until(10_000, |c| c.all_see(count - 1, Some(victim)));
         times.push(known.expect("the death becomes known"));
         let incarnation = 10_000 * (kill as u64 + 1);
         cluster.daemons[victim] = cluster.start(cluster::vm(victim), victim, incarnation);
-        let back = cluster.until(10_000, |c| c.all_see(count, None));
+        let back = cluster.advance_until(10_000, |c| c.all_see(count, None));
         assert!(back.is_some(), "the restarted daemon is not known to all");
         cluster.advance(1_170);
     }
--- a/crates/lilaccrank/tests/suite/orders.rs
+++ b/crates/lilaccrank/tests/suite/orders.rs
@@ -10,15 +10,15 @@
 use lilaccrank::document::Fencing;
 use lilaccrank::ids::TargetId;
 use lilaccrank::lease::{Error, Guard, Guards, Result};
-use lilaccrank::orders::{self, Addressee, Command, Order, Orders, Role, Settings, Targets};
+use lilaccrank::orders::{self, Command, Order, OrderTarget, Orders, Role, Settings, Targets};
 use lilaccrank::paused_clock::PausedClock;
 
-type Giver = Orders<PausedClock, FakeLease, FakeTargets>;
+type TestOrders = Orders<PausedClock, FakeLease, FakeTargets>;
 
 /// A wire to one target, which notes what it carried out.
 #[derive(Clone)]
 struct FakeTargets {
-    carried_out: Rc<RefCell<Vec<Order>>>,
+    executed: Rc<RefCell<Vec<Order>>>,
     clock: PausedClock,
     delay: Rc<Cell<Duration>>,
     fencing: Fencing,
@@ -27,18 +27,18 @@
 
 impl FakeTargets {
     fn arrive(&self, order: Order) {
-        let mut carried_out = self.carried_out.borrow_mut();
-        let highest = carried_out.iter().map(|earlier| earlier.fence).max();
-        let old = highest > Some(order.fence);
-        if self.fencing == Fencing::Ignored || !old {
-            carried_out.push(order);
+        let mut executed = self.executed.borrow_mut();
+        let highest = executed.iter().map(|earlier| earlier.fence).max();
+        let is_stale = highest > Some(order.fence);
+        if self.fencing == Fencing::Ignored || !is_stale {
+            executed.push(order);
         }
     }
 }
 
 impl Targets for FakeTargets {
     /// What is on the wire arrives also when the sender has given up.
-    async fn give(&self, _target: &TargetId, order: &Order) -> orders::Result<()> {
+    async fn issue(&self, _target: &TargetId, order: &Order) -> orders::Result<()> {
         let (targets, order) = (self.clone(), order.clone());
         let delay = self.clock.sleep(self.delay.get());
         let arrival = async move {
@@ -70,7 +70,7 @@
     }
 }
 
-struct Setting {
+struct Fixture {
     clock: PausedClock,
     /// Number of the holder made last.
     fence: RefCell<Rc<Cell<u64>>>,
@@ -79,13 +79,13 @@
     targets: FakeTargets,
 }
 
-impl Setting {
+impl Fixture {
     fn new(fencing: Fencing) -> Self {
         let clock = PausedClock::new();
         clock.advance(Duration::from_secs(60));
         let pool = LocalPool::new();
         let targets = FakeTargets {
-            carried_out: Rc::default(),
+            executed: Rc::default(),
             clock: clock.clone(),
             delay: Rc::default(),
             fencing,
@@ -100,7 +100,7 @@
         }
     }
 
-    fn in_s(&self, seconds: u64) -> Instant {
+    fn seconds_from_now(&self, seconds: u64) -> Instant {
         self.clock.now() + Duration::from_secs(seconds)
     }
 
@@ -108,12 +108,12 @@
         self.clock.now() - Duration::from_secs(60)
     }
 
-    fn holder(&self, fence: u64, until: Instant, earlier_ended: Instant) -> Giver {
-        let number = Rc::new(Cell::new(fence));
-        self.fence.replace(Rc::clone(&number));
+    fn holder(&self, fence: u64, until: Instant, earlier_ended: Instant) -> TestOrders {
+        let shared_fence = Rc::new(Cell::new(fence));
+        self.fence.replace(Rc::clone(&shared_fence));
         let lease = FakeLease {
             clock: self.clock.clone(),
-            fence: number,
+            fence: shared_fence,
             guard: Guard {
                 earlier_ended,
                 fence,
@@ -125,22 +125,22 @@
     }
 
     /// Gives an order that is on the wire for so long.
-    fn give(&mut self, holder: impl Into<Rc<Giver>>, role: Role, on_wire: Duration) {
-        self.targets.delay.set(on_wire);
-        let holder: Rc<Giver> = holder.into();
+    fn issue(&mut self, holder: impl Into<Rc<TestOrders>>, role: Role, time_in_flight: Duration) {
+        self.targets.delay.set(time_in_flight);
+        let holder: Rc<TestOrders> = holder.into();
         let outcomes = Rc::clone(&self.outcomes);
-        let target = Addressee {
+        let target = OrderTarget {
             fencing: self.targets.fencing,
             id: "engine-1".to_owned(),
         };
-        let give = async move {
-            let outcome = holder.give(&target, "role", Command::SetRole { role });
+        let issue = async move {
+            let outcome = holder.issue(&target, "role", Command::SetRole { role });
             let outcome = outcome.await;
             outcomes.borrow_mut().push(outcome);
         };
         self.pool
             .spawner()
-            .spawn_local(give)
+            .spawn_local(issue)
             .expect("the pool runs");
         self.pool.run_until_stalled();
     }
@@ -152,8 +152,8 @@
         }
     }
 
-    fn carried_out(&self) -> Vec<Command> {
-        let orders = self.targets.carried_out.borrow();
+    fn executed(&self) -> Vec<Command> {
+        let orders = self.targets.executed.borrow();
         orders.iter().map(|order| order.command.clone()).collect()
     }
 }
@@ -165,15 +165,15 @@
     ($($name:ident: $fencing:expr, $roles:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut setting = Setting::new($fencing);
-            let earlier = setting.holder(1, setting.in_s(1), setting.long_ago());
-            setting.give(earlier, Role::Prefill, Duration::from_millis(4_900));
-            setting.advance(1);
-            let later = setting.holder(2, setting.in_s(60), setting.in_s(0));
-            setting.give(later, Role::Decode, Duration::from_millis(10));
-            setting.advance(20);
+            let mut fixture = Fixture::new($fencing);
+            let earlier = fixture.holder(1, fixture.seconds_from_now(1), fixture.long_ago());
+            fixture.issue(earlier, Role::Prefill, Duration::from_millis(4_900));
+            fixture.advance(1);
+            let later = fixture.holder(2, fixture.seconds_from_now(60), fixture.seconds_from_now(0));
+            fixture.issue(later, Role::Decode, Duration::from_millis(10));
+            fixture.advance(20);
             let expected = $roles.map(|role| Command::SetRole { role });
-            assert_eq!(setting.carried_out(), expected);
+            assert_eq!(fixture.executed(), expected);
         }
     )*};
 }
@@ -187,13 +187,13 @@
 // again after the wait, it would act as if it still held it.
 #[test]
 fn holder_that_lost_its_lease_in_the_wait_gives_no_order() {
-    let mut setting = Setting::new(Fencing::Ignored);
-    let holder = setting.holder(1, setting.in_s(4), setting.in_s(0));
-    setting.give(holder, Role::Decode, Duration::ZERO);
-    setting.advance(20);
-    assert_eq!(setting.carried_out(), []);
+    let mut fixture = Fixture::new(Fencing::Ignored);
+    let holder = fixture.holder(1, fixture.seconds_from_now(4), fixture.seconds_from_now(0));
+    fixture.issue(holder, Role::Decode, Duration::ZERO);
+    fixture.advance(20);
+    assert_eq!(fixture.executed(), []);
     let not_held = orders::Error::Lease(Error::NotHeld("orders".to_owned()));
-    assert_eq!(*setting.outcomes.borrow(), [Err(not_held)]);
+    assert_eq!(*fixture.outcomes.borrow(), [Err(not_held)]);
 }
 
 // No answer to "prefill" comes in time, and the operator asks the same holder for "decode" while
@@ -203,23 +203,23 @@
 #[test]
 fn order_without_an_answer_is_not_overtaken() {
     for fencing in [Fencing::Checked, Fencing::Ignored] {
-        let mut setting = Setting::new(fencing);
-        let holder = setting.holder(1, setting.in_s(60), setting.long_ago());
+        let mut fixture = Fixture::new(fencing);
+        let holder = fixture.holder(1, fixture.seconds_from_now(60), fixture.long_ago());
         let holder = Rc::new(holder);
-        setting.give(
+        fixture.issue(
             Rc::clone(&holder),
             Role::Prefill,
             Duration::from_millis(4_900),
         );
-        setting.advance(4);
-        setting.give(holder, Role::Decode, Duration::from_millis(10));
-        setting.advance(10);
+        fixture.advance(4);
+        fixture.issue(holder, Role::Decode, Duration::from_millis(10));
+        fixture.advance(10);
         let roles = [Role::Prefill, Role::Prefill, Role::Decode];
         assert_eq!(
-            setting.carried_out(),
+            fixture.executed(),
             roles.map(|role| Command::SetRole { role })
         );
-        assert_eq!(*setting.outcomes.borrow(), [Ok(()), Ok(())]);
+        assert_eq!(*fixture.outcomes.borrow(), [Ok(()), Ok(())]);
     }
 }
 
@@ -227,18 +227,18 @@
 // must not be sent again under the new number, since the other may have given a later one.
 #[test]
 fn order_is_not_repeated_under_another_number() {
-    let mut setting = Setting::new(Fencing::Checked);
-    let holder = Rc::new(setting.holder(1, setting.in_s(60), setting.long_ago()));
-    setting.give(
+    let mut fixture = Fixture::new(Fencing::Checked);
+    let holder = Rc::new(fixture.holder(1, fixture.seconds_from_now(60), fixture.long_ago()));
+    fixture.issue(
         Rc::clone(&holder),
         Role::Prefill,
         Duration::from_millis(4_900),
     );
-    setting.advance(4);
-    setting.fence.borrow().set(3);
-    setting.advance(10);
+    fixture.advance(4);
+    fixture.fence.borrow().set(3);
+    fixture.advance(10);
     let unknown = orders::Error::Unknown("engine-1".to_owned());
-    assert_eq!(*setting.outcomes.borrow(), [Err(unknown)]);
+    assert_eq!(*fixture.outcomes.borrow(), [Err(unknown)]);
     let role = Role::Prefill;
-    assert_eq!(setting.carried_out(), [Command::SetRole { role }]);
+    assert_eq!(fixture.executed(), [Command::SetRole { role }]);
 }
--- a/crates/lilaccrank/tests/suite/pool_model/placed.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/placed.rs
@@ -13,7 +13,7 @@
 use lilaccrank::document::{Pool, Target};
 use lilaccrank::paused_clock::PausedClock;
 use lilaccrank::stream_progress::{self, StreamProgress};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use super::{Decision, Engine, Load, Policy, Progress, Request, TICK};
 
@@ -154,7 +154,7 @@
                 continue;
             }
             running.looked = at;
-            let Some(remaining) = running.progress.projected_overrun(at) else {
+            let Some(remaining) = running.progress.remaining_time_if_late(at) else {
                 continue;
             };
             running.moves = Moves::Asked;
@@ -167,7 +167,7 @@
         for (request, engine, partial) in asks {
             let ask = Ask {
                 partial: Some(partial),
-                exclusions: vec![TargetLife::from(&*engine.to_string())],
+                exclusions: vec![TargetInstance::from(&*engine.to_string())],
                 request: format!("{}{MOVED}", request.id),
                 ..self.ask(&request, now)
             };
@@ -180,7 +180,7 @@
             ask: 1,
             kind,
             request: name,
-            target: TargetLife::from(&*engine.to_string()),
+            target: TargetInstance::from(&*engine.to_string()),
         });
     }
 
@@ -268,7 +268,7 @@
         };
         let mut received = |tokens: u32| {
             running.tokens += tokens;
-            running.progress.received(tokens, at);
+            running.progress.record_tokens(tokens, at);
         };
         let kind = match progress {
             Progress::Cut(decoded) => ReportKind::Ended {
--- a/crates/lilaccrank/tests/suite/process.rs
+++ b/crates/lilaccrank/tests/suite/process.rs
@@ -6,7 +6,7 @@
 use std::task::{Poll, Waker};
 
 #[derive(Clone, Copy, Eq, PartialEq)]
-pub enum Power {
+pub enum ProcessState {
     Frozen,
     Killed,
     Running,
@@ -14,21 +14,21 @@
 
 /// Stands for the operating system's process: a frozen one is not polled, a killed one dropped.
 #[derive(Clone)]
-pub struct Process {
-    power: Rc<Cell<Power>>,
+pub struct FakeProcess {
+    state: Rc<Cell<ProcessState>>,
     waker: Rc<RefCell<Option<Waker>>>,
 }
 
-impl Process {
+impl FakeProcess {
     pub fn new() -> Self {
         Self {
-            power: Rc::new(Cell::new(Power::Running)),
+            state: Rc::new(Cell::new(ProcessState::Running)),
             waker: Rc::default(),
         }
     }
 
-    pub fn set(&self, power: Power) {
-        self.power.set(power);
+    pub fn set_state(&self, state: ProcessState) {
+        self.state.set(state);
         if let Some(waker) = self.waker.take() {
             waker.wake();
         }
@@ -38,10 +38,10 @@
         let mut work = Box::pin(work);
         future::poll_fn(|cx| {
             *self.waker.borrow_mut() = Some(cx.waker().clone());
-            match self.power.get() {
-                Power::Frozen => Poll::Pending,
-                Power::Killed => Poll::Ready(()),
-                Power::Running => work.as_mut().poll(cx),
+            match self.state.get() {
+                ProcessState::Frozen => Poll::Pending,
+                ProcessState::Killed => Poll::Ready(()),
+                ProcessState::Running => work.as_mut().poll(cx),
             }
         })
         .await;
--- a/crates/lilaccrank/tests/suite/quota_fleet.rs
+++ b/crates/lilaccrank/tests/suite/quota_fleet.rs
@@ -78,9 +78,9 @@
             let members = seen.iter().map(|at| &self.names[*at]);
             let cell = Cell::new(members, &self.names[me]);
             let live = seen.iter().map(|at| self.names[*at].clone()).collect();
-            self.daemons[me].set_cell(cell.id(), cell.mates(), &live, self.now);
-            let mates = cell.mates();
-            self.speaks[me] = cell.speaker(&self.names[me]) == &self.names[me];
+            self.daemons[me].set_cell(cell.id(), cell.peers(), &live, self.now);
+            let mates = cell.peers();
+            self.speaks[me] = cell.representative(&self.names[me]) == &self.names[me];
             let is_mate = |at: &usize| mates.contains(&self.names[*at]);
             self.cells[me] = seen.into_iter().filter(is_mate).collect();
         }
--- a/crates/lilaccrank/tests/suite/rate_limit.rs
+++ b/crates/lilaccrank/tests/suite/rate_limit.rs
@@ -8,7 +8,7 @@
 use lilaccrank::dispatch::rate_limit::{self, RateLimit, Share};
 use lilaccrank::document::Target;
 use lilaccrank::ids::VmId;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use quickcheck::quickcheck;
 
 use crate::dispatch_harness::{self, Harness};
@@ -85,19 +85,22 @@
         for me in &members {
             let cell = Cell::new(&members, me);
             let mut pool = targets_of(targets);
-            cell.keep_targets(&mut pool);
-            let sharers = cell.sharers(targets);
+            cell.retain_targets(&mut pool);
+            let sharers = cell.cells_sharing_targets(targets);
             assert!(sharers.contains(&cell.id()));
             let others = members.iter().map(|vm| Cell::new(&members, vm));
             for other in others.filter(|other| other.id() != cell.id()) {
                 let mut its_pool = targets_of(targets);
-                other.keep_targets(&mut its_pool);
+                other.retain_targets(&mut its_pool);
                 assert_eq!(sharers.contains(&other.id()), pool == its_pool);
             }
         }
     }
     // Where one daemon dispatches a pool there are no cells.
-    assert_eq!(Cell::default().sharers(12), [Cell::default().id()]);
+    assert_eq!(
+        Cell::default().cells_sharing_targets(12),
+        [Cell::default().id()]
+    );
 }
 
 fn targets_of(count: usize) -> Vec<Target> {
@@ -121,7 +124,7 @@
     fn new(daemons: usize, per_s: f64) -> Self {
         let daemon = |number| Harness::of(&format!("vm-{number}"), &[60], 1_000, TICK * 100);
         let daemons: Vec<_> = (0..daemons).map(daemon).collect();
-        let target = TargetLife::from("t0").digest();
+        let target = TargetInstance::from("t0").digest();
         let cells = cells(1);
         let share = rate_limit::share(per_s, target, &cells, cells[0]);
         for daemon in &daemons {
--- a/crates/lilaccrank/tests/suite/request_key/failures.rs
+++ b/crates/lilaccrank/tests/suite/request_key/failures.rs
@@ -4,7 +4,7 @@
 
 use futures::future;
 use lilaccrank::clock::Clock;
-use lilaccrank::error_kind::Ran;
+use lilaccrank::error_kind::Executed;
 use lilaccrank::request_key::{
     Access, BodyDigest, ClaimNumber, Error, Holder, KeyId, KeyReply, KeyRequest, Limits, Moved,
     Outcome, Record, Stage,
@@ -194,7 +194,7 @@
     let cluster = Cluster::new(3);
     cluster.lose(Loss::Copies);
     let refusal = refused(cluster.claim(2, &wanted(true))).unwrap();
-    assert_eq!((refusal, refusal.ran()), (Error::Unsettled, Ran::No));
+    assert_eq!((refusal, refusal.ran()), (Error::Unsettled, Executed::No));
     cluster.lose(Loss::Nothing);
     cluster.run(cluster.daemons[2].claims.sweep());
     let _running = cluster.marked(1, &wanted(true));
@@ -208,7 +208,7 @@
     let claim = cluster.granted(2, &wanted(true));
     cluster.lose(Loss::Replies);
     let refusal = cluster.run(claim.mark_dispatching()).err().unwrap();
-    assert_eq!((refusal, refusal.ran()), (Error::Unsettled, Ran::No));
+    assert_eq!((refusal, refusal.ran()), (Error::Unsettled, Executed::No));
     cluster.lose(Loss::Nothing);
     cluster.run(cluster.daemons[2].claims.sweep());
     let _running = cluster.marked(1, &wanted(true));
@@ -353,7 +353,7 @@
     let mut other = wanted(true);
     other.key = "another".to_owned();
     let refusal = refused(cluster.claim(2, &other)).unwrap();
-    assert_eq!((refusal, refusal.ran()), (Error::Full, Ran::No));
+    assert_eq!((refusal, refusal.ran()), (Error::Full, Executed::No));
     let repeat = cluster.claim(1, &wanted(true));
     assert!(matches!(repeat, Ok(Access::Running { .. })));
 }
--- a/crates/lilaccrank/tests/suite/request_key/store_failures.rs
+++ b/crates/lilaccrank/tests/suite/request_key/store_failures.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lilaccrank::error_kind::Ran;
+use lilaccrank::error_kind::Executed;
 use lilaccrank::request_key::{Error, Outcome};
 
 use crate::request_key::cluster::{Cluster, Fault, wanted};
@@ -47,7 +47,7 @@
     cluster.store.fault.set(Some(Fault::Away));
     let before = cluster.clock.elapsed();
     let refusal = cluster.run(claim.mark_dispatching()).err().unwrap();
-    assert_eq!(refusal.ran(), Ran::No);
+    assert_eq!(refusal.ran(), Executed::No);
     assert_eq!(cluster.clock.elapsed(), before);
 }
 
@@ -117,7 +117,7 @@
         wanted.key = index.to_string();
         let claim = cluster.granted(2, &wanted);
         if let Err(refusal) = cluster.run(claim.mark_dispatching()) {
-            assert_eq!((refusal, refusal.ran()), (Error::RateLimited, Ran::No));
+            assert_eq!((refusal, refusal.ran()), (Error::RateLimited, Executed::No));
             refused += 1;
         }
     }
--- a/crates/lilaccrank/tests/suite/retry_budget.rs
+++ b/crates/lilaccrank/tests/suite/retry_budget.rs
@@ -21,7 +21,7 @@
                 retries += 1.0;
             }
             let passed = (now - begun).as_secs_f64();
-            let allowed = cfg.reserve + cfg.share * (index + 1) as f64 + cfg.per_second * passed;
+            let allowed = cfg.capacity + cfg.ratio * (index + 1) as f64 + cfg.per_second * passed;
             if retries > allowed + 1e-6 {
                 return false;
             }
@@ -43,11 +43,11 @@
 // Members join, and each has a smaller part of what all of them may save up. One that had saved
 // more before doesn't keep it.
 #[test]
-fn a_smaller_reserve_holds_at_once() {
+fn smaller_capacity_applies_at_once() {
     let now = Instant::now();
     let mut budgets = RetryBudgets::new(Settings::default());
     assert!(budgets.get("engines", now).try_retry(now));
-    budgets.set_reserve(2.0);
+    budgets.set_capacity(2.0);
     let retries = (0..10).filter(|_| budgets.get("engines", now).try_retry(now));
     assert_eq!(retries.count(), 2);
 }
--- a/crates/lilaccrank/tests/suite/rules_check.rs
+++ b/crates/lilaccrank/tests/suite/rules_check.rs
@@ -106,7 +106,7 @@
     let facts = Facts {
         customer: "quay".to_owned(),
         model: Some("other".to_owned()),
-        tier_wish: Some(0),
+        requested_tier: Some(0),
         ..Facts::default()
     };
     let explained = explain::explain(&document, &rules, &facts, &Environment::default());
--- a/crates/lilaccrank/tests/suite/rules_matching.rs
+++ b/crates/lilaccrank/tests/suite/rules_matching.rs
@@ -81,7 +81,7 @@
                 model: seldom(g, 2, name),
                 path: format!("{}/x", g.choose(&PATHS).unwrap()),
                 prompt_tokens: u32::arbitrary(g) % 8,
-                tier_wish: seldom(g, 2, |g| u8::arbitrary(g) % 3),
+                requested_tier: seldom(g, 2, |g| u8::arbitrary(g) % 3),
                 ..Facts::default()
             },
         }
@@ -178,7 +178,10 @@
         rule: None,
         tier: None,
     };
-    let wish = case.facts.tier_wish.map(|wish| NAMES[usize::from(wish)]);
+    let wish = case
+        .facts
+        .requested_tier
+        .map(|wish| NAMES[usize::from(wish)]);
     if case.facts.customer == "c" && wish == Some("a") {
         return nobody(ErrorKind::Forbidden);
     }
--- a/crates/lilaccrank/tests/suite/rules_terms.rs
+++ b/crates/lilaccrank/tests/suite/rules_terms.rs
@@ -7,8 +7,8 @@
 use lilaccrank::configuration::manifest::{Identity, Manifest};
 use lilaccrank::configuration::sections::Sections;
 use lilaccrank::document::{
-    CallerLimits, Customer, Document, Pool, Quota, QuotaUnit, Rule, Share, Target, Terms, Then,
-    When,
+    CallerLimits, Customer, Document, Pool, Quota, QuotaUnit, Rule, Target, Terms, Then,
+    WeightedPool, When,
 };
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::paused_clock::PausedClock;
@@ -50,7 +50,7 @@
     let shares = ["old", "new"].into_iter().zip(weights);
     Then {
         split: shares
-            .map(|(pool, weight)| Share {
+            .map(|(pool, weight)| WeightedPool {
                 pool: pool.to_owned(),
                 weight,
             })
@@ -216,22 +216,22 @@
     let clock = PausedClock::new();
     clock.advance(Duration::from_secs(60));
     let adoption = Adoption::new();
-    adoption.confirm(clock.boot());
+    adoption.confirm(clock.boot_time());
     assert_eq!(
-        adoption.age(clock.boot()),
+        adoption.age(clock.boot_time()),
         None,
         "there is nothing to prove"
     );
     let (manifest, sections) = manifest(1, &document(split([1, 1])));
     adoption.adopt(manifest, &sections.contents).unwrap();
-    adoption.confirm(clock.boot());
+    adoption.confirm(clock.boot_time());
     clock.advance(Duration::from_secs(1));
     clock.suspend(Duration::from_secs(4));
     let age = Some(Duration::from_secs(5));
-    assert_eq!(adoption.age(clock.boot()), age);
+    assert_eq!(adoption.age(clock.boot_time()), age);
     adoption.confirm(Duration::from_secs(1));
     assert_eq!(
-        adoption.age(clock.boot()),
+        adoption.age(clock.boot_time()),
         age,
         "an older proof proves less"
     );
--- a/crates/lilaccrankd/src/admin.rs
+++ b/crates/lilaccrankd/src/admin.rs
@@ -161,7 +161,7 @@
     // Configuration and list are asked for side by side. Without the list every request would be
     // refused for want of a target.
     let needs_list = in_force.document.pools.iter().any(|pool| pool.listed);
-    if needs_list && daemon.live_list.age(MonoioClock.boot()).is_none() {
+    if needs_list && daemon.live_list.age(MonoioClock.boot_time()).is_none() {
         let message = "the list of targets is not known yet";
         return Err(Refusal::new(ErrorKind::NotReady, message));
     }
--- a/crates/lilaccrankd/src/admin/publication.rs
+++ b/crates/lilaccrankd/src/admin/publication.rs
@@ -51,7 +51,7 @@
         WRITE_LIMIT,
     );
     let identity = written.await.map_err(Failure::from)?;
-    let unheard = confirm(daemon, &identity).await?;
+    let unresponsive = confirm(daemon, &identity).await?;
     let author = &publication.author;
     log::info!("{author} published {identity}");
     daemon.record(
@@ -61,7 +61,10 @@
             ..Subject::default()
         },
     );
-    Ok(Published { identity, unheard })
+    Ok(Published {
+        identity,
+        unresponsive,
+    })
 }
 
 /// Takes over the newest configuration of the live daemons, so that a store that came back
--- a/crates/lilaccrankd/src/callers/caller_request.rs
+++ b/crates/lilaccrankd/src/callers/caller_request.rs
@@ -107,7 +107,7 @@
             idempotent: idempotent(&head.headers)?,
             key: key(&head.headers)?,
             path: head.uri.path().to_owned(),
-            tier_wish: tier_wish(&head.headers, cx)?,
+            requested_tier: tier_wish(&head.headers, cx)?,
             ..Facts::default()
         };
         let work = match shape(&head) {
@@ -265,7 +265,7 @@
             .ok_or_else(|| bad("give `prompt`, a string"))?
             .to_owned(),
     };
-    facts.prompt_tokens = prompt::tokens(&prompt);
+    facts.prompt_tokens = prompt::estimate_tokens(&prompt);
     facts.max_tokens = match object.get("max_tokens") {
         None => DEFAULT_MAX_TOKENS,
         Some(value) => value
--- a/crates/lilaccrankd/src/callers/entry.rs
+++ b/crates/lilaccrankd/src/callers/entry.rs
@@ -239,7 +239,7 @@
 
 /// Age of the proof that the configuration is the newest, in milliseconds, for the log.
 fn log_age(daemon: &Daemon) -> i64 {
-    let age = daemon.adoption.age(MonoioClock.boot());
+    let age = daemon.adoption.age(MonoioClock.boot_time());
     age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX))
 }
 
--- a/crates/lilaccrankd/src/callers/own_protocol.rs
+++ b/crates/lilaccrankd/src/callers/own_protocol.rs
@@ -5,7 +5,7 @@
 use hyper::header::AUTHORIZATION;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Response};
-use lilaccrank::error_kind::Ran;
+use lilaccrank::error_kind::Executed;
 use lilaccrank_http::body::Body;
 
 use crate::callers::auth;
@@ -33,7 +33,7 @@
 
     /// An event tells why to those that read events.
     fn break_off(&self, refusal: &Refusal) -> Option<Bytes> {
-        let json = refusal.clone().ran(Ran::Maybe).json();
+        let json = refusal.clone().ran(Executed::Maybe).json();
         Some(format!("event: error\ndata: {json}\n\n").into())
     }
 
--- a/crates/lilaccrankd/src/callers/refusal.rs
+++ b/crates/lilaccrankd/src/callers/refusal.rs
@@ -4,7 +4,7 @@
 
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank_http::body::{self, Body};
 use serde::Serialize;
 use thiserror::Error;
@@ -33,7 +33,7 @@
     /// What the caller can do about it.
     pub message: String,
     /// Whether a target may have run it.
-    pub ran: Ran,
+    pub ran: Executed,
     /// When to come back.
     pub retry_after: Option<Duration>,
 }
@@ -47,19 +47,19 @@
 struct Details<'a> {
     kind: ErrorKind,
     message: &'a str,
-    ran: Ran,
+    ran: Executed,
 }
 
 impl Refusal {
     /// A refusal with what the table says for its kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
-        let answer = kind.answer();
+        let answer = kind.response();
         Self {
             connection_lost: false,
             kind,
             message: message.into(),
-            ran: answer.ran,
-            retry_after: answer.retry.then_some(DEFAULT_RETRY),
+            ran: answer.executed,
+            retry_after: answer.retryable.then_some(DEFAULT_RETRY),
         }
     }
 
@@ -79,7 +79,7 @@
 
     /// The same where the place of failure knows whether it ran.
     #[must_use]
-    pub fn ran(mut self, ran: Ran) -> Self {
+    pub fn ran(mut self, ran: Executed) -> Self {
         self.ran = ran;
         self
     }
@@ -101,7 +101,7 @@
     #[must_use]
     pub fn response(&self) -> Response<Body> {
         let mut res = Response::new(body::full(self.json()));
-        *res.status_mut() = StatusCode::from_u16(self.kind.answer().status)
+        *res.status_mut() = StatusCode::from_u16(self.kind.response().status)
             .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let headers = res.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/lilaccrankd/src/configuration.rs
+++ b/crates/lilaccrankd/src/configuration.rs
@@ -81,7 +81,7 @@
         let stale = stale(daemon);
         pin_mut!(changed, stale);
         if let Either::Right(_) = future::select(changed, stale).await {
-            let age = daemon.heard.age(MonoioClock.boot());
+            let age = daemon.heard.age(MonoioClock.boot_time());
             log::warn!(
                 heard_ms_ago = age.map_or(-1, |age| age.as_millis() as i64);
                 "no watcher tells anything new: this daemon asks the platform itself"
@@ -134,13 +134,13 @@
 }
 
 fn is_stale(daemon: &Daemon) -> bool {
-    let heard = daemon.heard.age(MonoioClock.boot());
+    let heard = daemon.heard.age(MonoioClock.boot_time());
     heard.is_none_or(|age| age >= STALE_AFTER)
 }
 
 /// Whether a watcher hears the platform, and has told so of late.
 fn is_told(daemon: &Daemon) -> bool {
-    let heard = daemon.heard.watcher_age(MonoioClock.boot());
+    let heard = daemon.heard.watcher_age(MonoioClock.boot_time());
     daemon.cfg.configuration_lease_ms == 0 || heard.is_some_and(|age| age < STALE_AFTER)
 }
 
--- a/crates/lilaccrankd/src/configuration/feed.rs
+++ b/crates/lilaccrankd/src/configuration/feed.rs
@@ -30,9 +30,9 @@
     loop {
         monoio::time::sleep(every / 2 + backoff::full_jitter(every)).await;
         turn += 1;
-        let heard = daemon.heard.age(MonoioClock.boot());
+        let heard = daemon.heard.age(MonoioClock.boot_time());
         let stale = heard.is_none_or(|age| age > FRESH);
-        let direct = daemon.heard.direct_age(MonoioClock.boot());
+        let direct = daemon.heard.direct_age(MonoioClock.boot_time());
         let follows = direct.is_some_and(|age| age < FRESH);
         if daemon.duties.is_watcher() && follows {
             continue;
@@ -57,7 +57,7 @@
         revision: asked.revision,
         ..Listing::default()
     };
-    let now = MonoioClock.boot();
+    let now = MonoioClock.boot_time();
     let incarnation = daemon.duties.me().incarnation;
     let cell = &daemon.load_exchange;
     Feed {
@@ -91,7 +91,7 @@
 }
 
 async fn ask(daemon: &Rc<Daemon>, vm: &VmId) {
-    let asked = MonoioClock.boot();
+    let asked = MonoioClock.boot_time();
     let known = daemon.live_list.listing();
     let req = FeedAsk {
         advisories: daemon.advisories.pull(vm),
--- a/crates/lilaccrankd/src/configuration/own_source.rs
+++ b/crates/lilaccrankd/src/configuration/own_source.rs
@@ -60,7 +60,7 @@
 async fn follow_list(daemon: &Daemon, intake: &Intake) {
     loop {
         // A list that can't be had leaves what is known in place: a leaving target stays so.
-        let asked = MonoioClock.boot();
+        let asked = MonoioClock.boot_time();
         if let Some(leaving) = read(daemon).await {
             intake.listing(Listing {
                 leaving,
--- a/crates/lilaccrankd/src/configuration/source.rs
+++ b/crates/lilaccrankd/src/configuration/source.rs
@@ -70,7 +70,7 @@
     /// Nothing newer than what is in force was published before `at`.
     pub fn confirmed(&self, at: BootTime) {
         self.daemon.adoption.confirm(at);
-        self.daemon.heard.configuration(MonoioClock.boot());
+        self.daemon.heard.configuration(MonoioClock.boot_time());
     }
 
     /// Takes over a list of targets.
@@ -81,6 +81,6 @@
     /// The list of targets was the newest at `at`.
     pub fn listing_confirmed(&self, at: BootTime) {
         self.daemon.live_list.confirm(at);
-        self.daemon.heard.list(MonoioClock.boot());
+        self.daemon.heard.list(MonoioClock.boot_time());
     }
 }
--- a/crates/lilaccrankd/src/daemon.rs
+++ b/crates/lilaccrankd/src/daemon.rs
@@ -13,7 +13,7 @@
 use lilaccrank::membership::{Member, Membership, State};
 use lilaccrank::request_key::{Budget, Claims, Keeper, Limits};
 use lilaccrank::rules::condition::Environment;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use lilaccrank::timeline::{EventKind, Subject, Timeline};
 use lilaccrank_http::client::Client;
 use lilaccrank_http::monoio_clock::MonoioClock;
@@ -236,10 +236,10 @@
 
     /// A target of a pool, by configuration or by the platform's list.
     #[must_use]
-    pub fn target(&self, pool: &str, life: &TargetLife) -> Option<Target> {
+    pub fn target(&self, pool: &str, life: &TargetInstance) -> Option<Target> {
         let in_force = self.in_force().ok()?;
         let configured = in_force.target(pool, &life.id).map(|(_, target)| target);
-        let configured = configured.filter(|target| TargetLife::of(target) == *life);
+        let configured = configured.filter(|target| TargetInstance::of(target) == *life);
         configured
             .cloned()
             .or_else(|| self.live_list.find(pool, life))
@@ -261,7 +261,7 @@
     /// [`ErrorKind::NotReady`] once the lease has run out.
     pub fn check_lease(&self) -> Result<()> {
         let lease = Duration::from_millis(self.cfg.configuration_lease_ms);
-        let age = self.adoption.age(MonoioClock.boot());
+        let age = self.adoption.age(MonoioClock.boot_time());
         if lease.is_zero() || age.is_some_and(|age| age + LEASE_MARGIN < lease) {
             return Ok(());
         }
--- a/crates/lilaccrankd/src/orders/pool_orders.rs
+++ b/crates/lilaccrankd/src/orders/pool_orders.rs
@@ -11,7 +11,7 @@
 use lilaccrank::document::Target;
 use lilaccrank::ids::{Incarnation, TargetId};
 use lilaccrank::lease::{self, Guards, Keeper, Lease, Tenure};
-use lilaccrank::orders::{Addressee, Command, Error, Orders, Result};
+use lilaccrank::orders::{Command, Error, OrderTarget, Orders, Result};
 use lilaccrank_http::monoio_clock::MonoioClock;
 
 use crate::daemon::PlatformStore;
@@ -141,7 +141,7 @@
     /// [`Error::Unknown`] if the target may carry it out; after any other error it does not.
     pub async fn give(&self, target: &Target, id: &str, command: Command) -> Result<()> {
         let _wanted = self.want();
-        let addressee = Addressee {
+        let addressee = OrderTarget {
             fencing: target.fencing,
             id: target.id.clone(),
         };
@@ -155,7 +155,7 @@
             if term.is_none() || term != self.term() || self.tenure.guard().is_err() {
                 return Err(lease::Error::NotHeld(self.key.clone()).into());
             }
-            let given = self.orders.give(&addressee, id, command.clone()).await;
+            let given = self.orders.issue(&addressee, id, command.clone()).await;
             // The lease was lost before anything was sent.
             let again = matches!(given, Err(Error::Lease(_))) && Instant::now() < until;
             if !again {
--- a/crates/lilaccrankd/src/orders/target_orders.rs
+++ b/crates/lilaccrankd/src/orders/target_orders.rs
@@ -65,7 +65,7 @@
 }
 
 impl Targets for TargetOrders {
-    async fn give(&self, target: &TargetId, order: &Order) -> Result<()> {
+    async fn issue(&self, target: &TargetId, order: &Order) -> Result<()> {
         let known = self.targets.borrow().get(target).cloned();
         let unreachable = || Error::Unreachable(target.clone());
         let address = known.ok_or_else(unreachable)?.address;
--- a/crates/lilaccrankd/src/peers/advisories.rs
+++ b/crates/lilaccrankd/src/peers/advisories.rs
@@ -8,7 +8,7 @@
 use lilaccrank::advisories::sync::{self, Cursors, Page, Pull};
 use lilaccrank::advisories::{Advisories, Advisory, Fact};
 use lilaccrank::ids::{ContentDigest, Incarnation, VmId};
-use lilaccrank::target_life::{LifeDigest, TargetLife};
+use lilaccrank::target_instance::{InstanceDigest, TargetInstance};
 
 use crate::peers::changes::Changes;
 use crate::peers::load_exchange::LoadExchange;
@@ -38,7 +38,7 @@
 
 impl SharedAdvisories {
     /// A target crashed with a request of this content in flight.
-    pub fn crashed(&self, content: ContentDigest, target: &TargetLife, cell: &LoadExchange) {
+    pub fn crashed(&self, content: ContentDigest, target: &TargetInstance, cell: &LoadExchange) {
         if self
             .completed
             .borrow_mut()
@@ -99,7 +99,7 @@
     }
 
     /// Notes the rate limit that a target advertised with an answer.
-    pub fn rate_limited(&self, target: &TargetLife, limit: RateLimit, cell: &LoadExchange) {
+    pub fn rate_limited(&self, target: &TargetInstance, limit: RateLimit, cell: &LoadExchange) {
         let per_1000_s = match limit {
             RateLimit::PerSecond(rate) => Some(per_1000_s(rate)),
             RateLimit::Unlimited => None,
@@ -113,7 +113,7 @@
     }
 
     /// Rates that targets advertise, in requests per second.
-    pub fn rate_limits(&self) -> IndexMap<LifeDigest, f64> {
+    pub fn rate_limits(&self) -> IndexMap<InstanceDigest, f64> {
         self.known.borrow().rate_limits(Instant::now()).collect()
     }
 
--- a/crates/lilaccrankd/src/peers/load_exchange.rs
+++ b/crates/lilaccrankd/src/peers/load_exchange.rs
@@ -161,7 +161,7 @@
         monoio::time::sleep(pace).await;
         let cell = server::cell(&daemon);
         let me = &daemon.cfg.vm;
-        if cell.id().count < 2 || cell.speaker(me) != me || !is_needed(&daemon) {
+        if cell.id().count < 2 || cell.representative(me) != me || !is_needed(&daemon) {
             continue;
         }
         let demand = daemon.quotas.cell_demand();
@@ -203,7 +203,7 @@
 }
 
 fn is_near(daemon: &Daemon, vm: &VmId) -> bool {
-    !daemon.duties.is_dispatch_local() || server::cell(daemon).mates().contains(vm)
+    !daemon.duties.is_dispatch_local() || server::cell(daemon).peers().contains(vm)
 }
 
 async fn tell(
--- a/crates/lilaccrankd/src/peers/quarantine_record.rs
+++ b/crates/lilaccrankd/src/peers/quarantine_record.rs
@@ -61,7 +61,7 @@
         .as_ref()
         .map_or(Expect::Absent, |found| Expect::Version(found.version));
     let mut record = found.as_ref().map(read).unwrap_or_default();
-    let now = MonoioClock.wall();
+    let now = MonoioClock.wall_time();
     let recorded: Vec<_> = record.current(now).collect();
     daemon.advisories.recorded(&recorded, &daemon.load_exchange);
     let mut missing = daemon.advisories.quarantined();
--- a/crates/lilaccrankd/src/pools/client/held.rs
+++ b/crates/lilaccrankd/src/pools/client/held.rs
@@ -5,7 +5,7 @@
 
 use lilaccrank::dispatch::message::{Cancel, Grant, Outcome, Report, ReportKind};
 use lilaccrank::ids::{PoolId, RequestId};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::daemon::Daemon;
 use crate::peers::message::PoolMessage;
@@ -20,7 +20,7 @@
     pool: PoolId,
     request: RequestId,
     /// Where the request may be sent.
-    pub target: TargetLife,
+    pub target: TargetInstance,
 }
 
 /// Takes an ask back when its caller stops waiting.
--- a/crates/lilaccrankd/src/pools/client/outstanding.rs
+++ b/crates/lilaccrankd/src/pools/client/outstanding.rs
@@ -10,7 +10,7 @@
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::ids::{PoolId, RequestId};
 use lilaccrank::request_key::{MemberRef, Ranking};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::daemon::Daemon;
 
@@ -40,7 +40,7 @@
 
 struct RunningOn {
     decoded: Option<u32>,
-    target: TargetLife,
+    target: TargetInstance,
 }
 
 impl PoolClient {
--- a/crates/lilaccrankd/src/pools/poller.rs
+++ b/crates/lilaccrankd/src/pools/poller.rs
@@ -12,7 +12,7 @@
 use lilaccrank::dispatch::message::{CacheEvent, LoadReport};
 use lilaccrank::document::{PoolKind, Target};
 use lilaccrank::ids::{PoolId, TargetId};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use lilaccrank_http::body;
 use lilaccrank_http::client::{self, Limits};
 use serde::Deserialize;
@@ -102,7 +102,7 @@
         };
         served
             .dispatcher
-            .load_report(&TargetLife::of(target), report);
+            .load_report(&TargetInstance::of(target), report);
     }
     let path = format!("/cache-events?after={after}");
     let events = get::<Vec<Published>>(daemon, target, &path).await;
@@ -114,7 +114,7 @@
         };
         served
             .dispatcher
-            .cache_events(&TargetLife::of(target), event.seq, &[kind]);
+            .cache_events(&TargetInstance::of(target), event.seq, &[kind]);
         last = event.seq;
     }
     last
--- a/crates/lilaccrankd/src/pools/rate_limits.rs
+++ b/crates/lilaccrankd/src/pools/rate_limits.rs
@@ -6,15 +6,15 @@
 use lilaccrank::cells::CellId;
 use lilaccrank::dispatch::rate_limit::{self, Share};
 use lilaccrank::document::Pool;
-use lilaccrank::target_life::LifeDigest;
+use lilaccrank::target_instance::InstanceDigest;
 
 use crate::daemon::Daemon;
 use crate::pools::server;
 
 /// Requests per second by target.
-type Rates = IndexMap<LifeDigest, f64>;
+type Rates = IndexMap<InstanceDigest, f64>;
 /// Shares by target.
-type Shares = IndexMap<LifeDigest, Share>;
+type Shares = IndexMap<InstanceDigest, Share>;
 
 /// The rate limits that are applied to the dispatchers of this daemon.
 #[derive(Default)]
@@ -42,7 +42,7 @@
 
 fn shares(daemon: &Daemon, pool: &Pool, rates: &Rates) -> Shares {
     let cell = server::cell(daemon);
-    let sharers = cell.sharers(server::near_targets(daemon, pool).len());
+    let sharers = cell.cells_sharing_targets(server::near_targets(daemon, pool).len());
     let shares = rates.iter().map(|(target, per_s)| {
         let share = rate_limit::share(*per_s, *target, &sharers, cell.id());
         (*target, share)
--- a/crates/lilaccrankd/src/pools/server.rs
+++ b/crates/lilaccrankd/src/pools/server.rs
@@ -302,7 +302,7 @@
     let before = daemon.pool_server.cell.replace(Rc::clone(&cell));
     daemon.quotas.set_cell(&cell, &members);
     if before != cell {
-        log::info!(mates = cell.mates().len(), members = members.len(); "cell of this daemon");
+        log::info!(mates = cell.peers().len(), members = members.len(); "cell of this daemon");
         configuration_changed(daemon);
     }
 }
@@ -340,9 +340,9 @@
         targets: near_targets(daemon, configured),
         ..configured.clone()
     };
-    cell(daemon).keep_targets(&mut pool.targets);
+    cell(daemon).retain_targets(&mut pool.targets);
     if daemon.duties.is_dispatch_local() {
-        cells::spread(&mut pool.targets, &daemon.cfg.vm);
+        cells::sort_by_daemon_hash(&mut pool.targets, &daemon.cfg.vm);
     }
     daemon.pool_server.rate_limits.targets_changed();
     dispatcher.set_targets_where(&pool, |data_centre| daemon.cfg.is_near(data_centre));
--- a/crates/lilaccrankd/src/request/interruption.rs
+++ b/crates/lilaccrankd/src/request/interruption.rs
@@ -5,7 +5,7 @@
 
 use futures::future::{self, Either};
 use futures::pin_mut;
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 
 use crate::callers::refusal::Refusal;
 use crate::request::cutting::Cutting;
@@ -31,7 +31,7 @@
         // The process is about to end. A caller that is only cut off could not tell whether its
         // request ran; the kind alone would say "not run", which is true for who still waits.
         Either::Right(_) => {
-            Refusal::new(ErrorKind::Leaving, "this daemon has to end now").ran(Ran::Maybe)
+            Refusal::new(ErrorKind::Leaving, "this daemon has to end now").ran(Executed::Maybe)
         }
     }
 }
--- a/crates/lilaccrankd/src/request/key_state.rs
+++ b/crates/lilaccrankd/src/request/key_state.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use lilaccrank::error_kind::Ran;
+use lilaccrank::error_kind::Executed;
 use lilaccrank::request_key;
 use lilaccrank::request_key::{
     BodyDigest, Claim, Claimed, Claims, Error, Marked, MemberRef, Outcome, Wanted,
@@ -59,7 +59,7 @@
         }
         // The first try of a repeated request may have been run by a daemon that has just died.
         // A keeper that can't tell yet doesn't know; "not run" would be untrue to its caller.
-        Err(e @ Error::Unsettled) => Err(refusal(&e).ran(Ran::Maybe)),
+        Err(e @ Error::Unsettled) => Err(refusal(&e).ran(Executed::Maybe)),
         Err(e) => Err(refusal(&e)),
     }
 }
--- a/crates/lilaccrankd/src/request/life.rs
+++ b/crates/lilaccrankd/src/request/life.rs
@@ -7,7 +7,7 @@
 use futures::future::{self, Either};
 use futures::pin_mut;
 use lilaccrank::dispatch::message::{Ask, PartialAnswer, Refuse};
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank::ids::{ContentDigest, RequestId, TargetId};
 use lilaccrank::rules::matching::Route;
 use lilaccrank::timeline::{EventKind, Subject};
@@ -109,12 +109,12 @@
     daemon.record(kind, routed.subject(detail.unwrap_or_default(), None));
     let scoped = routed.caller.scoped_key();
     if let (Err(refusal), Some(charge)) = (result, &routed.charge)
-        && refusal.ran == Ran::No
+        && refusal.ran == Executed::No
     {
         daemon.quotas.refund(charge);
     }
     match (result, key) {
-        (Err(refusal), Some(key)) if refusal.ran == Ran::No => key.release().await,
+        (Err(refusal), Some(key)) if refusal.ran == Executed::No => key.release().await,
         (_, Some(key)) => {
             let ttl = Duration::from_millis(daemon.cfg.answer_ttl_ms);
             key.end(result, ttl).await;
@@ -284,7 +284,7 @@
                 Ok(held)
             }
             Either::Left((Err(refuse), _)) => Err(refusal(&refuse)),
-            Either::Right((refusal, _)) => Err(refusal.ran(Ran::No)),
+            Either::Right((refusal, _)) => Err(refusal.ran(Executed::No)),
         }
     }
 
@@ -372,7 +372,7 @@
         Some(unmeetable) => format!("{message}: {unmeetable}"),
         None => message.to_owned(),
     };
-    let refusal = Refusal::new(refuse.kind, message).ran(Ran::No);
+    let refusal = Refusal::new(refuse.kind, message).ran(Executed::No);
     match refuse.retry_after {
         Some(after) => refusal.retry_after(after),
         None => refusal,
--- a/crates/lilaccrankd/src/request/migration.rs
+++ b/crates/lilaccrankd/src/request/migration.rs
@@ -28,7 +28,10 @@
         }
         loop {
             monoio::time::sleep(stream_progress::CHECK_INTERVAL).await;
-            let Some(remaining) = seen.stream_progress().projected_overrun(Instant::now()) else {
+            let Some(remaining) = seen
+                .stream_progress()
+                .remaining_time_if_late(Instant::now())
+            else {
                 continue;
             };
             if !seen.daemon.second_sends.has(&self.route.pool) {
--- a/crates/lilaccrankd/src/request/quarantine.rs
+++ b/crates/lilaccrankd/src/request/quarantine.rs
@@ -2,7 +2,7 @@
 
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::ids::ContentDigest;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::callers::refusal::{Refusal, Result};
 use crate::daemon::Daemon;
@@ -31,7 +31,7 @@
     }
 
     /// The target's connection ended before its answer did.
-    pub fn note_crash(&self, daemon: &Daemon, target: &TargetLife) {
+    pub fn note_crash(&self, daemon: &Daemon, target: &TargetInstance) {
         let cell = &daemon.load_exchange;
         daemon.advisories.crashed(self.content(), target, cell);
     }
--- a/crates/lilaccrankd/src/request/quotas.rs
+++ b/crates/lilaccrankd/src/request/quotas.rs
@@ -109,7 +109,7 @@
     /// Sets the cell, and all daemons that are known to live.
     pub fn set_cell(&self, cell: &Cell, live: &IndexSet<VmId>) {
         let mut inner = self.inner.borrow_mut();
-        inner.set_cell(cell.id(), cell.mates(), live, Instant::now());
+        inner.set_cell(cell.id(), cell.peers(), live, Instant::now());
     }
 
     /// Sets the time between two words of another cell.
--- a/crates/lilaccrankd/src/request/second_sends.rs
+++ b/crates/lilaccrankd/src/request/second_sends.rs
@@ -35,8 +35,8 @@
         let fewest_parts = f64::from(cfg.daemons.max(1));
         let settings = Settings {
             per_second: 0.0,
-            reserve: cfg.reserve / fewest_parts,
-            share: cfg.share,
+            capacity: cfg.reserve / fewest_parts,
+            ratio: cfg.share,
         };
         Self {
             budgets: RefCell::new(RetryBudgets::new(settings)),
@@ -48,7 +48,7 @@
     /// The members are now so many.
     pub fn divide(&self, members: usize) {
         let parts = (members as f64 * PARTS).max(self.fewest_parts);
-        self.budgets.borrow_mut().set_reserve(self.reserve / parts);
+        self.budgets.borrow_mut().set_capacity(self.reserve / parts);
     }
 
     /// Counts a request.
--- a/crates/lilaccrankd/src/request/send.rs
+++ b/crates/lilaccrankd/src/request/send.rs
@@ -11,7 +11,7 @@
 use lilaccrank::attempts::Failure;
 use lilaccrank::dispatch::message::{Outcome, ReportKind};
 use lilaccrank::document::Target;
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank::stream_progress::StreamProgress;
 use lilaccrank::timeline::EventKind;
 use lilaccrank_http::client;
@@ -153,7 +153,7 @@
         };
         let interrupted = async {
             let refusal = self.interrupted(daemon, run).await;
-            Unfinished::from(failed(refusal.ran(Ran::Maybe)))
+            Unfinished::from(failed(refusal.ran(Executed::Maybe)))
         };
         let restarted = async {
             daemon.live_list.is_over(&seen.held.target).await;
@@ -243,7 +243,7 @@
         self.tokens.set(self.tokens.get() + self.tokens_in_event);
         let now = Instant::now();
         let mut stream_progress = self.stream_progress.get();
-        stream_progress.received(self.tokens_in_event, now);
+        stream_progress.record_tokens(self.tokens_in_event, now);
         self.stream_progress.set(stream_progress);
         if first {
             self.first_token(since_sent);
@@ -266,7 +266,7 @@
         Ok(()) => Outcome::Complete,
         Err(Unfinished::Migrated(_)) => Outcome::Cancelled,
         Err(Unfinished::Failed(failed)) => match failed {
-            failed if failed.refusal.kind.is_from_outside() => Outcome::Cancelled,
+            failed if failed.refusal.kind.is_unrelated_to_target() => Outcome::Cancelled,
             failed if failed.refusal.kind == ErrorKind::NoTarget => Outcome::Unused,
             failed if failed.answer.is_some() => Outcome::Erred,
             failed if failed.how == Failure::NotRun => Outcome::Erred,
@@ -278,8 +278,8 @@
 /// A send that ended with this refusal; the target got nothing if it says "not run".
 fn failed(refusal: Refusal) -> Failed {
     let how = match refusal.ran {
-        Ran::No => Failure::Unsent,
-        Ran::Maybe => Failure::Failed,
+        Executed::No => Failure::Unsent,
+        Executed::Maybe => Failure::Failed,
     };
     Failed {
         answer: None,
@@ -294,7 +294,7 @@
 /// hold a slot that nobody has.
 fn lost_with_its_target(run: &Run) -> Failed {
     let refusal = Refusal::new(ErrorKind::TargetFailed, "the target has started again");
-    let mut lost = failed(refusal.ran(Ran::Maybe).connection_lost());
+    let mut lost = failed(refusal.ran(Executed::Maybe).connection_lost());
     if run.has_head() {
         lost.how = Failure::BrokenOff;
     }
--- a/crates/lilaccrankd/src/request/sends.rs
+++ b/crates/lilaccrankd/src/request/sends.rs
@@ -3,9 +3,9 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use lilaccrank::attempts::{Allowed, Attempts, Failure};
-use lilaccrank::error_kind::Ran;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::attempts::{Attempts, Failure, RetryPolicy};
+use lilaccrank::error_kind::Executed;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::callers::refusal::{Refusal, Result};
 use crate::daemon::Daemon;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct PriorSends {
     /// Targets that must not have it again.
-    pub exclusions: Vec<TargetLife>,
+    pub exclusions: Vec<TargetInstance>,
     /// Since when the caller waits for the next part of its answer.
     pub waits_since: Instant,
 }
@@ -40,10 +40,10 @@
     #[must_use]
     pub fn new(routed: &Routed) -> Self {
         let terms = &routed.route.terms;
-        let allowed = Allowed {
+        let allowed = RetryPolicy {
             idempotent: routed.is_idempotent(),
             resumable: terms.resumable,
-            runs: terms.attempts.unwrap_or(1),
+            max_runs: terms.attempts.unwrap_or(1),
         };
         Self {
             answer: None,
@@ -66,14 +66,14 @@
     /// Whether another target may resume an answer of which the caller has a part.
     #[must_use]
     pub fn can_resume(&self) -> bool {
-        self.attempts.clone().failed(Failure::BrokenOff)
+        self.attempts.clone().record_failure(Failure::BrokenOff)
     }
 
     /// Notes that the answer leaves `target`, which is still at work.
-    pub fn migrated(&mut self, target: TargetLife) {
+    pub fn migrated(&mut self, target: TargetInstance) {
         self.prior.exclusions.push(target);
         self.prior.waits_since = Instant::now();
-        self.attempts.failed(Failure::BrokenOff);
+        self.attempts.record_failure(Failure::BrokenOff);
     }
 
     /// Takes in a send that failed; the end of the request, unless it is to be sent again.
@@ -81,7 +81,7 @@
         &mut self,
         daemon: &Daemon,
         routed: &Routed,
-        target: TargetLife,
+        target: TargetInstance,
         failed: Failed,
         run: &Run,
     ) -> Option<Result<()>> {
@@ -97,8 +97,8 @@
         if failed.answer.is_some() {
             self.answer = failed.answer;
         }
-        let again = self.attempts.failed(failed.how)
-            && !failed.refusal.kind.is_from_outside()
+        let again = self.attempts.record_failure(failed.how)
+            && !failed.refusal.kind.is_unrelated_to_target()
             && (failed.how == Failure::Unsent
                 || daemon.second_sends.take(daemon, &routed.route.pool));
         log::info!(
@@ -139,9 +139,9 @@
         }
         // That nobody takes it now doesn't undo an earlier send.
         let last = match self.refusal.take() {
-            Some(earlier) if refusal.ran == Ran::No => earlier,
+            Some(earlier) if refusal.ran == Executed::No => earlier,
             _ => refusal,
         };
-        Err(last.ran(Ran::Maybe))
+        Err(last.ran(Executed::Maybe))
     }
 }
--- a/crates/lilaccrankd/src/request/spill.rs
+++ b/crates/lilaccrankd/src/request/spill.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
 use hyper::{Request, Response, StatusCode};
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank_http::body::{self, Body};
 use rand::seq::IndexedRandom;
 use serde::Deserialize;
@@ -34,7 +34,7 @@
 struct Details {
     kind: ErrorKind,
     message: String,
-    ran: Ran,
+    ran: Executed,
 }
 
 /// Whether another data centre may do what this one refuses.
@@ -66,8 +66,8 @@
         };
         match try_one(daemon, caller, other.callers, deadline, run).await {
             // Nobody there could be reached: what this data centre said still stands.
-            Err(refusal) if refusal.ran == Ran::No && refusal.retry_after.is_none() => {}
-            Err(refusal) if refusal.ran == Ran::No => refused = refusal,
+            Err(refusal) if refusal.ran == Executed::No && refusal.retry_after.is_none() => {}
+            Err(refusal) if refusal.ran == Executed::No => refused = refusal,
             other => return other,
         }
     }
--- a/crates/lilaccrankd/src/targets/call.rs
+++ b/crates/lilaccrankd/src/targets/call.rs
@@ -4,7 +4,7 @@
 
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank_http::body::Body;
 use lilaccrank_http::client::{Client, Connection, Error, Limits};
 
@@ -20,7 +20,7 @@
 ///
 /// # Errors
 ///
-/// [`Ran::No`] only if no connection could be made.
+/// [`Executed::No`] only if no connection could be made.
 pub async fn send(
     client: &Client,
     address: &str,
@@ -42,9 +42,9 @@
         Error::Connect { .. } | Error::Exchange { .. } => ErrorKind::TargetFailed,
     };
     let ran = if e.sent_nothing() {
-        Ran::No
+        Executed::No
     } else {
-        Ran::Maybe
+        Executed::Maybe
     };
     let refusal = Refusal::new(kind, e.to_string()).ran(ran);
     if e.is_connection_lost() {
--- a/crates/lilaccrankd/src/targets/engine_run.rs
+++ b/crates/lilaccrankd/src/targets/engine_run.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures::future::{self, Either};
 use futures::pin_mut;
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 
 use crate::callers::answer_shape::{AnswerShape, Step};
 use crate::callers::caller_request::Shape;
@@ -88,7 +88,7 @@
     match &outcome {
         Ok(()) => engine.finish(),
         // Whatever went wrong, the engine may still be computing for nobody.
-        Err(refusal) if refusal.ran == Ran::Maybe => {
+        Err(refusal) if refusal.ran == Executed::Maybe => {
             let cancelling = monoio::spawn(engine.cancel());
             let _ = monoio::time::timeout(CANCEL_WAIT, cancelling).await;
         }
--- a/crates/lilaccrankd/src/targets/engine_stream.rs
+++ b/crates/lilaccrankd/src/targets/engine_stream.rs
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// [`Ran::No`](lilaccrank::error_kind::Ran::No) only if no connection could be made.
+    /// [`Executed::No`](lilaccrank::error_kind::Executed::No) only if no connection could be made.
     pub async fn send(&mut self, path: &str, key: Option<&str>, body: Bytes) -> Result<()> {
         let mut req = self.request(Method::POST, path, body::full(body));
         let headers = req.headers_mut();
--- a/crates/lilaccrankd/src/targets/forward.rs
+++ b/crates/lilaccrankd/src/targets/forward.rs
@@ -13,7 +13,7 @@
 use hyper::header::{CONTENT_ENCODING, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::response::Parts;
 use lilaccrank::attempts::Failure;
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank_http::body::{self, Body};
 use lilaccrank_http::client::{self, Client, Connection, Limits};
 use lilaccrank_http::events::Cutter;
@@ -156,7 +156,7 @@
         Failed {
             answer: None,
             how: Failure::NotRun,
-            refusal: Refusal::new(ErrorKind::TargetRefused, message).ran(Ran::No),
+            refusal: Refusal::new(ErrorKind::TargetRefused, message).ran(Executed::No),
         }
     }
 
@@ -316,7 +316,7 @@
     Failed {
         answer: None,
         how: Failure::Failed,
-        refusal: Refusal::new(kind, message).ran(Ran::Maybe),
+        refusal: Refusal::new(kind, message).ran(Executed::Maybe),
     }
 }
 
@@ -343,7 +343,7 @@
     unanswered.refusal.connection_lost = e.is_connection_lost();
     if e.sent_nothing() {
         unanswered.how = Failure::Unsent;
-        unanswered.refusal.ran = Ran::No;
+        unanswered.refusal.ran = Executed::No;
     }
     unanswered
 }
--- a/crates/lilaccrankd/src/targets/live_list.rs
+++ b/crates/lilaccrankd/src/targets/live_list.rs
@@ -16,7 +16,7 @@
 use lilaccrank::clock::{BootTime, Clock};
 use lilaccrank::document::{Pool, Target, TargetState};
 use lilaccrank::ids::{PoolId, TargetId, VmId};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use lilaccrank_http::monoio_clock::MonoioClock;
 use serde::{Deserialize, Serialize};
 
@@ -123,14 +123,14 @@
 
     /// A target of the list.
     #[must_use]
-    pub fn find(&self, pool: &str, life: &TargetLife) -> Option<Target> {
+    pub fn find(&self, pool: &str, life: &TargetInstance) -> Option<Target> {
         let listing = self.listing.borrow();
         let lapsed = self.lapsed.borrow();
         let listed = listing.targets.get(pool).into_iter().flatten();
         let lapsed = lapsed.get(&life.id).map(|(_, target)| target);
         let mut known = listed.chain(lapsed);
         known
-            .find(|target| TargetLife::of(target) == *life)
+            .find(|target| TargetInstance::of(target) == *life)
             .cloned()
     }
 
@@ -142,11 +142,11 @@
 
     /// Whether a later life of the same target was heard of.
     fn has_ended(&self, target: &Target) -> bool {
-        self.lives.borrow().is_over(&TargetLife::of(target))
+        self.lives.borrow().is_over(&TargetInstance::of(target))
     }
 
     /// Completes once a later life of the same target is heard of.
-    pub async fn is_over(&self, life: &TargetLife) {
+    pub async fn is_over(&self, life: &TargetInstance) {
         while !self.lives.borrow().is_over(life) {
             let listener = self.taken.listen();
             if !self.lives.borrow().is_over(life) {
@@ -201,7 +201,7 @@
 
 /// Takes over a list that the daemon was told.
 pub fn take(daemon: &Rc<Daemon>, listing: Listing) {
-    let may_lapse = daemon.heard.may_lapse(MonoioClock.boot());
+    let may_lapse = daemon.heard.may_lapse(MonoioClock.boot_time());
     let before = daemon.live_list.listing();
     if !daemon.live_list.take(listing, may_lapse) {
         return;
@@ -210,7 +210,7 @@
         .all()
         .filter(|(_, target)| daemon.live_list.has_ended(target))
     {
-        log::info!(born = over.born, target_id = over.id; "a target has started again");
+        log::info!(born = over.started_ms, target_id = over.id; "a target has started again");
         daemon.client.forget(&over.address);
     }
     let unusable = daemon.live_list.listing().unusable.len();
@@ -224,7 +224,7 @@
 
 async fn wait_for_lapsed(daemon: Rc<Daemon>) {
     // Other daemons' words may tell of a later end of the silence than this one's own.
-    while daemon.heard.may_lapse(MonoioClock.boot()) {
+    while daemon.heard.may_lapse(MonoioClock.boot_time()) {
         monoio::time::sleep(LAPSED_LOOK).await;
     }
     if daemon.live_list.forget_lapsed() {
