--- a/crates/lilaccrankd/src/targets/lives.rs
+++ b/crates/lilaccrankd/src/targets/lives.rs
@@ -7,8 +7,8 @@
 
 use indexmap::{IndexMap, IndexSet};
 use lilaccrank::document::Target;
-use lilaccrank::ids::{Born, TargetId};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::ids::{StartTimeMs, TargetId};
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::targets::live_list::Listing;
 
@@ -19,14 +19,14 @@
 /// The newest life of each target that was heard of.
 #[derive(Debug, Default)]
 pub struct Lives {
-    newest: IndexMap<TargetId, Born>,
+    newest: IndexMap<TargetId, StartTimeMs>,
 }
 
 impl Lives {
     /// Whether a later life of the same target was heard of.
     #[must_use]
-    pub fn is_over(&self, life: &TargetLife) -> bool {
-        self.newest.get(&life.id) > Some(&life.born)
+    pub fn is_over(&self, life: &TargetInstance) -> bool {
+        self.newest.get(&life.id) > Some(&life.started_ms)
     }
 
     /// Names that are remembered.
@@ -51,20 +51,20 @@
         }
         for (_, target) in listing.all() {
             let newest = self.newest.entry(target.id.clone()).or_default();
-            *newest = target.born.max(*newest);
+            *newest = target.started_ms.max(*newest);
         }
         self.forget(listing);
     }
 
     fn settled(&self, pool: &str, target: Target, known: &Listing) -> Option<Target> {
-        let life = TargetLife::of(&target);
+        let life = TargetInstance::of(&target);
         if !self.is_over(&life) {
             return Some(target);
         }
         let mut later = known.targets.get(pool).into_iter().flatten();
-        let later = later.find(|later| later.id == life.id && later.born > life.born);
+        let later = later.find(|later| later.id == life.id && later.started_ms > life.started_ms);
         log::info!(
-            born = life.born,
+            born = life.started_ms,
             kept = later.is_some(),
             target_id = life.id;
             "an earlier life of a target was heard late"
--- a/crates/lilaccrankd/tests/suite/listing.rs
+++ b/crates/lilaccrankd/tests/suite/listing.rs
@@ -2,7 +2,7 @@
 
 use indexmap::{IndexMap, IndexSet};
 use lilaccrank::document::{Pool, Target, TargetState};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use lilaccrankd::targets::live_list::{Listing, LiveList};
 
 const POOL: &str = "engines";
@@ -71,7 +71,7 @@
     list.take(live(7, &["a", "b"]), false);
     list.take(live(8, &["a"]), false);
     assert_eq!(ids(&list), ["a"]);
-    assert_eq!(list.find(POOL, &TargetLife::from("b")), None);
+    assert_eq!(list.find(POOL, &TargetInstance::from("b")), None);
 }
 
 // The platform was silent, and entries of targets that live lapsed. They stay until they come back
@@ -82,7 +82,7 @@
     list.take(live(7, &["a", "b", "c"]), false);
     list.take(live(20, &["a"]), true);
     assert_eq!(ids(&list), ["a", "b", "c"]);
-    assert!(list.find(POOL, &TargetLife::from("b")).is_some());
+    assert!(list.find(POOL, &TargetInstance::from("b")).is_some());
     list.take(live(21, &["a", "b"]), true);
     assert_eq!(ids(&list), ["a", "b", "c"]);
     assert!(list.forget_lapsed());
@@ -124,14 +124,14 @@
 /// A target that was born at `born` and is in this state.
 fn born(revision: u64, born: u64, state: TargetState) -> Listing {
     let mut listing = listing(revision, &[("a", state)]);
-    listing.targets[POOL][0].born = born;
+    listing.targets[POOL][0].started_ms = born;
     listing
 }
 
 fn only(list: &LiveList) -> (u64, TargetState) {
     let listing = list.listing();
     let target = &listing.targets[POOL][0];
-    (target.born, target.state)
+    (target.started_ms, target.state)
 }
 
 // The old life of a target was leaving, the new one serves. The entry of the old one is written once
@@ -157,8 +157,8 @@
 fn a_life_is_found_by_its_birth() {
     let list = LiveList::default();
     list.take(born(7, 100, TargetState::Live), false);
-    let life = TargetLife {
-        born: 100,
+    let life = TargetInstance {
+        started_ms: 100,
         id: "a".to_owned(),
     };
     assert!(list.find(POOL, &life).is_some());
