--- a/crates/lilaccrank/src/attempts.rs
+++ b/crates/lilaccrank/src/attempts.rs
@@ -1,46 +1,46 @@
-//! Whether a request may be sent again after it failed at a target.
+//! Decides whether a request is retried after it failed at a target.
 //!
-//! What a target has begun may have had its effect, whether its answer arrived or not. Only a
-//! request that may run more than once is sent again then, and only one whose answer can be
-//! taken up after a given event once a part of it has reached the caller.
+//! A request that a target started may have taken effect even if no answer arrived, so it is
+//! retried only if it is idempotent. Once part of the answer has reached the caller, it is
+//! retried only if the stream can be resumed after its last event.
 
-/// Sends in vain, to targets that did not run the request, that one request may cost beside its
-/// runs. A third target that refuses as well says that the pool is full.
+/// Retries allowed after sends that no target executed; they don't count as runs. When a third
+/// target refuses as well, the pool is taken to be full.
 const MAX_UNEXECUTED_RETRIES: u32 = 2;
 
-/// How a send ended without a whole answer.
+/// How a send ended without a complete answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Failure {
-    /// A part of the answer has reached the caller.
+    /// The answer ended early, after part of it had reached the caller.
     BrokenOff,
-    /// The target ran it or may have; the caller has seen nothing.
+    /// The target may have run the request; the caller has received nothing.
     Failed,
-    /// The target had it and said that it did not run it and never will.
+    /// The target received the request and reported that it did not and will not run it.
     NotRun,
-    /// Nothing of it reached the target.
+    /// No part of the request reached the target.
     Unsent,
 }
 
 impl Failure {
-    /// Whether the target certainly did not run the request.
+    /// Returns `true` if the target certainly did not run the request.
     #[must_use]
     pub fn is_not_run(self) -> bool {
         matches!(self, Self::NotRun | Self::Unsent)
     }
 }
 
-/// What a request allows.
+/// How often and under which conditions a request may be retried.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct RetryPolicy {
-    /// It may run more than once.
+    /// The request may run more than once.
     pub idempotent: bool,
-    /// Another target may go on after the last event.
+    /// Another target may continue the answer after its last event.
     pub resumable: bool,
-    /// Targets that it may run on.
+    /// Maximum number of targets that may run the request; 0 counts as 1.
     pub max_runs: u32,
 }
 
-/// The sends of one request.
+/// Counts the failed sends of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     policy: RetryPolicy,
@@ -49,7 +49,7 @@
 }
 
 impl Attempts {
-    /// A request that was not sent yet.
+    /// Starts counting for a request that has not been sent yet.
     #[must_use]
     pub fn new(policy: RetryPolicy) -> Self {
         Self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Notes how a send ended; whether there may be another one.
+    /// Records how a send ended. Returns `true` if the request may be sent again.
     pub fn record_failure(&mut self, failure: Failure) -> bool {
         if failure.is_not_run() {
             self.unexecuted += 1;
@@ -76,13 +76,13 @@
         }
     }
 
-    /// Whether it was sent before.
+    /// Returns `true` if the request was sent before.
     #[must_use]
     pub fn is_repeat(&self) -> bool {
         self.unexecuted + self.runs > 0
     }
 
-    /// Whether a target ran it, or may have.
+    /// Returns `true` if a target ran the request or may have run it.
     #[must_use]
     pub fn may_have_run(&self) -> bool {
         self.runs > 0
--- a/crates/lilaccrank/src/backoff.rs
+++ b/crates/lilaccrank/src/backoff.rs
@@ -1,13 +1,13 @@
-//! Waiting between tries: exponential, with full jitter.
+//! Exponential backoff with full jitter.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 
-/// How long to wait before each further try.
+/// Exponential backoff with full jitter.
 ///
-/// After an outage all clients see the store come back at once. Equal waits would bring them
-/// back together, again and again; a wait drawn from the whole interval spreads them evenly.
+/// After an outage all clients see the store recover at the same moment. Equal waits would make
+/// them retry in step each time; waits drawn from the whole interval spread the retries evenly.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     ceiling: Duration,
@@ -16,7 +16,7 @@
 }
 
 impl Backoff {
-    /// Waits grow from `first` to at most `limit`.
+    /// Creates a backoff whose ceiling starts at `first` and doubles up to `limit`.
     #[must_use]
     pub fn new(first: Duration, limit: Duration) -> Self {
         Self {
@@ -26,26 +26,27 @@
         }
     }
 
-    /// The next wait, drawn from zero to the current ceiling, which then doubles.
+    /// Returns the next wait, drawn uniformly from zero to the current ceiling, and doubles the
+    /// ceiling.
     pub fn next_wait(&mut self) -> Duration {
         let wait = full_jitter(self.ceiling);
         self.ceiling = (self.ceiling * 2).min(self.limit);
         wait
     }
 
-    /// Starts over after a success.
+    /// Resets the ceiling after a success.
     pub fn reset(&mut self) {
         self.ceiling = self.first;
     }
 }
 
-/// A duration drawn evenly from zero to `ceiling`.
+/// Returns a duration drawn uniformly from zero to `ceiling`.
 #[must_use]
 pub fn full_jitter(ceiling: Duration) -> Duration {
     full_jitter_with(&mut rand::rng(), ceiling)
 }
 
-/// A duration drawn by `rng` evenly from zero to `ceiling`.
+/// Like [`full_jitter`], with the given random number generator.
 pub fn full_jitter_with(rng: &mut impl Rng, ceiling: Duration) -> Duration {
     ceiling.mul_f64(rng.random::<f64>())
 }
--- a/crates/lilaccrank/src/cells.rs
+++ b/crates/lilaccrank/src/cells.rs
@@ -1,14 +1,14 @@
-//! Cells: parts of a large fleet, each with its daemons and its share of the targets.
+//! Partitions a large fleet into cells, each with its own daemons and targets.
 //!
-//! Daemons that send to the same targets tell each other at once what they have there. Among all
-//! daemons of a fleet these messages would grow with the square of their number, and choosing
-//! among all targets with their number too. In cells both stay as they are in a small fleet,
-//! however large it is.
+//! Daemons that send to the same targets exchange their outstanding load. Without cells the
+//! number of these messages grows quadratically with the number of daemons, and the cost of
+//! choosing a target grows with the number of targets. Cells keep both constant.
 //!
-//! A cell takes its daemons and targets from all data centres that act as one, so that each cell
-//! has a like share of the callers, and targets on each side of a cut. Every daemon that sees the
-//! same members and targets divides them alike; where two differ for a moment, one of them has a
-//! view that lacks some of the other's requests, as if a datagram had been lost.
+//! A cell takes its daemons and targets from all data centres that are scheduled as one, so that
+//! the cells get similar shares of the callers and each has targets on both sides of a network
+//! partition. Daemons that see the same members and targets compute the same cells. While the
+//! views of two daemons differ, one may miss some of the other's requests, as if a datagram had
+//! been lost.
 
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
@@ -17,38 +17,40 @@
 use crate::ids::VmId;
 use crate::rendezvous;
 
-/// Daemons of a cell at least; below twice as many a fleet is not divided. Some ten daemons on as
-/// many targets tell each other some 300 datagrams a second each, at ten requests a second each.
+/// Minimum number of daemons in a cell; a smaller fleet than twice this is not divided. About
+/// ten daemons on as many targets exchange about 300 datagrams a second each at ten requests a
+/// second each.
 const MIN_DAEMONS: usize = 8;
-/// Targets of a cell at least: with fewer, one that fails or is slow is too large a part of what a
-/// cell can do. A pool with fewer is divided less.
+/// Minimum number of targets in a partition of a pool. With fewer, one failed or slow target
+/// would be too large a part of the capacity of a cell. A small pool has fewer partitions than
+/// there are cells.
 const MIN_TARGETS: usize = 6;
-/// The duty to speak for a cell.
+/// Rendezvous key that elects the representative of a cell.
 const REPRESENTATIVE_KEY: &str = "cell/speaker";
-/// What daemons and targets are ordered by.
+/// Rendezvous key by which daemons and targets are ordered before they are partitioned.
 const HASH_KEY: &str = "cell";
 
-/// Names a cell among those of its fleet.
+/// Identifies a cell within its fleet.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct CellId {
-    /// Number of cells.
+    /// Number of cells in the fleet.
     pub count: u16,
-    /// Its place among them.
+    /// Index of this cell, from 0.
     pub index: u16,
 }
 
-/// The cell of one daemon among those of its fleet.
+/// The cell that one daemon belongs to.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Cell {
-    /// Number of cells, a power of two: when it changes, two cells become one or one becomes two,
-    /// and what is known of their targets stays of use.
+    /// Number of cells, a power of two: when it changes, cells are merged or split in pairs, so
+    /// that what is known of their targets stays usable.
     count: usize,
     index: usize,
     peers: IndexSet<VmId>,
 }
 
 impl Cell {
-    /// The cell of `me`, which may be missing from `members`.
+    /// Returns the cell of `me`. `members` need not contain `me`.
     #[must_use]
     pub fn new<'a>(members: impl IntoIterator<Item = &'a VmId>, me: &VmId) -> Self {
         let mut ordered: IndexSet<&VmId> = members.into_iter().collect();
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Its name.
+    /// Returns the identifier of the cell.
     #[must_use]
     pub fn id(&self) -> CellId {
         self.id_of(self.index)
@@ -79,20 +81,21 @@
         }
     }
 
-    /// The daemon that speaks for the cell of `me`.
+    /// Returns the daemon that reports to other cells on behalf of the cell of `me`.
     #[must_use]
     pub fn representative<'a>(&'a self, me: &'a VmId) -> &'a VmId {
         let members = self.peers.iter().chain([me]);
         rendezvous::owner(REPRESENTATIVE_KEY, members).unwrap_or(me)
     }
 
-    /// The other daemons of the cell.
+    /// Returns the other daemons of the cell.
     #[must_use]
     pub fn peers(&self) -> &IndexSet<VmId> {
         &self.peers
     }
 
-    /// The cells that send to the same part of a pool with so many targets, itself included.
+    /// Returns the cells that share this cell's partition of a pool with `targets` targets, this
+    /// cell included.
     #[must_use]
     pub fn cells_sharing_targets(&self, targets: usize) -> Vec<CellId> {
         let partitions = self.partitions(targets);
@@ -102,17 +105,17 @@
         indexes.map(|index| self.id_of(index)).collect()
     }
 
-    /// Parts into which a pool with so many targets falls.
+    /// Number of partitions of a pool with `targets` targets.
     fn partitions(&self, targets: usize) -> usize {
         max_partitions(targets, MIN_TARGETS).min(self.count)
     }
 
-    /// Part of a pool that a cell has.
+    /// Partition of a pool that a cell uses.
     fn partition(&self, index: usize, partitions: usize) -> usize {
         index * partitions / self.count.max(1)
     }
 
-    /// Keeps the targets of the cell, of all targets of one pool.
+    /// Retains the targets that this cell uses; `targets` holds all targets of one pool.
     pub fn retain_targets(&self, targets: &mut Vec<Target>) {
         let partitions = self.partitions(targets.len());
         if partitions < 2 {
@@ -130,16 +133,18 @@
     }
 }
 
-/// Puts targets into an order of this daemon's own.
+/// Sorts targets into an order that differs from daemon to daemon.
 ///
-/// Of targets that are as good the first ones are taken. After a restart of all daemons none has heard
-/// of another's requests yet, and all targets look idle to each: in one order for all they would send
-/// their first thousand requests to the same few targets, which turn one in three away.
+/// The scheduler takes the first of several equally good targets. After all daemons restarted,
+/// none knows of another's requests and all targets look idle. With the same order everywhere,
+/// the daemons would send their first thousand requests to the same few targets, which would
+/// refuse one in three.
 pub fn sort_by_daemon_hash(targets: &mut [Target], me: &VmId) {
     targets.sort_by_cached_key(|target| (rendezvous::weight(me, &target.id), target.id.clone()));
 }
 
-/// The highest power of two of parts that have `least` of `all` each.
+/// Returns the largest power of two by which `all` can be divided into parts of at least
+/// `min_size`, or 1 if `all` is too small.
 fn max_partitions(all: usize, min_size: usize) -> usize {
     (all / min_size).checked_ilog2().map_or(1, |log| 1 << log)
 }
--- a/crates/lilaccrank/src/circuit_breaker.rs
+++ b/crates/lilaccrank/src/circuit_breaker.rs
@@ -1,9 +1,9 @@
-//! A circuit that opens by the rate of failures and is tried again one call at a time.
+//! A circuit breaker that opens by failure rate and lets single trial calls through.
 //!
-//! While a destination fails, calls to it cost time and keep it from coming back. An open
-//! circuit answers at once. After a wait drawn evenly from the whole interval (full jitter, so
-//! that many clients don't come back together) one trial call goes out; its outcome closes the
-//! circuit or opens it for longer.
+//! Calls to a failing destination cost time and slow its recovery. An open circuit breaker
+//! rejects calls at once. After a wait with full jitter, which keeps many clients from returning
+//! together, it lets one trial call through; the outcome closes the circuit breaker or opens it
+//! for longer.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -15,29 +15,29 @@
 use crate::backoff::Backoff;
 use crate::clock::Clock;
 
-/// Result of asking for a call.
+/// Result of asking for a [`Permit`].
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// The circuit lets no call through now.
+/// The circuit breaker rejects calls at the moment.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 #[error("circuit is open, try again in {retry_after:?}")]
 pub struct Error {
-    /// When a call may be let through.
+    /// Time after which a call may be let through.
     pub retry_after: Duration,
 }
 
-/// When a circuit opens and for how long.
+/// When a circuit breaker opens and for how long.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Share of failed calls at which it opens.
+    /// Share of failed calls, from 0 to 1, at which it opens.
     pub failure_rate: f64,
-    /// Ceiling of the first wait; the ceiling doubles with each failed trial.
+    /// Ceiling of the first wait while open; it doubles with each failed trial.
     pub initial_wait: Duration,
-    /// Highest ceiling.
+    /// Maximum ceiling of a wait.
     pub max_wait: Duration,
-    /// Fewest calls in the window that say anything.
+    /// Number of calls in the window below which the failure rate is ignored.
     pub min_calls: u32,
-    /// Failures and successes count for this long.
+    /// Time for which an outcome counts towards the failure rate.
     pub window: Duration,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// A circuit before one destination; clones share it.
+/// A circuit breaker for one destination; clones share its state.
 #[derive(Clone)]
 pub struct CircuitBreaker<C> {
     clock: C,
@@ -69,14 +69,15 @@
 
 enum State {
     Closed,
-    /// One trial is under way.
+    /// One trial call is in progress.
     HalfOpen,
     Open {
         until: Instant,
     },
 }
 
-/// Leave for one call. Its outcome has to be told; dropped without one it counts for nothing.
+/// Permission for one call. Report the outcome with [`failed`](Self::failed) or
+/// [`succeeded`](Self::succeeded); a permit dropped without an outcome does not count.
 #[must_use]
 pub struct Permit<C: Clock> {
     circuit: CircuitBreaker<C>,
@@ -95,14 +96,14 @@
     failed: bool,
 }
 
-/// Outcomes kept at most; more would only make the rate finer.
+/// Maximum number of outcomes in the window; more would only make the rate more precise.
 const MAX_OUTCOMES: usize = 256;
 
-/// Time after which a caller may ask again while a trial is under way.
+/// `retry_after` of calls that are rejected while a trial call is in progress.
 const TRIAL_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 impl<C: Clock> CircuitBreaker<C> {
-    /// A closed circuit.
+    /// Creates a closed circuit breaker.
     pub fn new(cfg: Settings, clock: C) -> Self {
         let inner = Inner {
             backoff: Backoff::new(cfg.initial_wait, cfg.max_wait),
@@ -119,7 +120,11 @@
         }
     }
 
-    /// Asks for leave to make one call.
+    /// Asks for permission to make one call.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error while the circuit breaker is open or a trial call is in progress.
     pub fn permit(&self) -> Result<Permit<C>> {
         let now = self.clock.now();
         let mut inner = self.inner.borrow_mut();
@@ -185,7 +190,7 @@
 }
 
 impl<C: Clock> Permit<C> {
-    /// The call failed; the circuit stays open for at least `least` if it opens.
+    /// Reports a failed call. If the circuit breaker opens, it stays open for at least `min_wait`.
     pub fn failed(mut self, min_wait: Duration) {
         self.reported = true;
         let now = self.circuit.clock.now();
@@ -200,13 +205,13 @@
         }
     }
 
-    /// Whether this call decides if the circuit closes.
+    /// Returns `true` if this is the trial call of a half-open circuit breaker.
     #[must_use]
     pub fn is_trial(&self) -> bool {
         self.trial
     }
 
-    /// The destination answered.
+    /// Reports a successful call.
     pub fn succeeded(mut self) {
         self.reported = true;
         let now = self.circuit.clock.now();
@@ -219,8 +224,8 @@
 }
 
 impl<C: Clock> Drop for Permit<C> {
-    /// A trial whose caller went away tells nothing. If it kept the circuit half open, no call
-    /// would ever be let through again; the next caller makes the trial instead.
+    /// Reopens the circuit breaker for an immediate trial if the trial call was abandoned.
+    /// Otherwise it would stay half open and never let a call through again.
     fn drop(&mut self) {
         if self.trial && !self.reported {
             let until = self.circuit.clock.now();
--- a/crates/lilaccrank/src/clock.rs
+++ b/crates/lilaccrank/src/clock.rs
@@ -1,28 +1,28 @@
-//! The clock port: all code takes time from it, so that tests can pause and advance it.
+//! The clock interface. All code takes its time from it, so that tests can pause and advance it.
 
 use std::future::Future;
 use std::time::{Duration, Instant, SystemTime};
 
-/// Time since the machine started. Unlike [`Instant`] it goes on while the machine is suspended,
-/// so that what was learnt before is known to be old after.
+/// Time since the machine booted. Unlike [`Instant`] it includes time spent in suspend, so that
+/// information from before a suspend is known to be stale afterwards.
 pub type BootTime = Duration;
 
 /// A source of time and of timers.
 pub trait Clock: Clone + 'static {
-    /// Time since the machine started, times of suspension included.
+    /// Returns the time since the machine booted, including time spent in suspend.
     fn boot_time(&self) -> BootTime;
 
-    /// Monotonic time of this process.
+    /// Returns the monotonic time.
     fn now(&self) -> Instant;
 
     /// Completes once `duration` has passed on this clock.
     fn sleep(&self, duration: Duration) -> impl Future<Output = ()> + 'static;
 
-    /// Wall time, for records that other processes read.
+    /// Returns the wall-clock time, for records that other processes read.
     fn wall_time(&self) -> SystemTime;
 }
 
-/// Runs `fut` for at most `limit`; `None` if the time is up first.
+/// Runs `fut` for at most `limit`; returns `None` if it did not complete in time.
 pub async fn timeout<C: Clock, F: Future>(clock: &C, limit: Duration, fut: F) -> Option<F::Output> {
     let fut = std::pin::pin!(fut);
     let sleep = std::pin::pin!(clock.sleep(limit));
--- a/crates/lilaccrank/src/configuration.rs
+++ b/crates/lilaccrank/src/configuration.rs
@@ -1,13 +1,14 @@
-//! Publication of configurations through the store, and their adoption by each daemon.
+//! Publishes configurations through the store and distributes them to the daemons.
 //!
-//! A small [`manifest`] at one key names the [`sections`] of the document by digest. [`publish`]
-//! writes new sections first and then replaces the manifest by conditional update, so that the
-//! manifest alone decides which publication takes effect. Each daemon holds what it
-//! [adopted](adoption) and never goes back; [`watcher`] follows the store and heals one that
-//! came back older; [`exchange`] carries changes between daemons.
+//! A small [`manifest`] under one key refers to the [`sections`] of the document by digest.
+//! [`publish`] writes new sections first and then replaces the manifest with a conditional
+//! update, so that the manifest alone decides which publication takes effect. Each daemon keeps
+//! the configuration that it [adopted](adoption) and never goes back to an earlier one.
+//! [`watcher`] follows the store and repairs a store that was restored to an earlier state;
+//! [`exchange`] carries changes between daemons.
 //!
-//! Assumed of the store: the version of an object is never used twice, also after the store was
-//! restored from a backup.
+//! The store must never reuse the version of an object, not even after it was restored from a
+//! backup.
 
 pub mod adoption;
 pub mod archive;
--- a/crates/lilaccrank/src/document.rs
+++ b/crates/lilaccrank/src/document.rs
@@ -1,6 +1,7 @@
 //! The configuration document that operators write and publish.
 //!
-//! Unknown fields are errors everywhere, so that a misspelt condition never widens a rule.
+//! Unknown fields are rejected everywhere. Otherwise a rule with a misspelt condition would match
+//! more requests than intended.
 
 use std::time::Duration;
 
@@ -16,36 +17,36 @@
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Bounds on what callers may send, instead of those of the daemons' settings.
+    /// Limits for callers that replace those in the daemons' settings.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub caller_limits: Option<CallerLimits>,
-    /// Who may send requests.
+    /// Customers, who may send requests.
     pub customers: Vec<Customer>,
-    /// Who may publish and look.
+    /// Operators, who may publish configurations and query the daemons.
     pub operators: Vec<Operator>,
     /// Groups of targets that serve the same requests.
     pub pools: Vec<Pool>,
-    /// Ordered rules; the first match decides.
+    /// Rules in order; the first one that matches a request applies.
     pub rules: Vec<Rule>,
-    /// Tier names, the most urgent first.
+    /// Names of the tiers, the most urgent first.
     pub tiers: Vec<String>,
 }
 
-/// Bounds on what a caller may send, and on how long it may take.
+/// Limits on the size and the duration of what a caller sends.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct CallerLimits {
-    /// Largest body in bytes.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
-    /// Largest head in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// Longest time for a whole head, in milliseconds.
+    /// Maximum time to receive a complete head, in milliseconds.
     pub head_ms: u64,
-    /// Longest time without a request on an open connection, in milliseconds.
+    /// Maximum idle time of a connection between requests, in milliseconds.
     pub idle_ms: u64,
 }
 
-/// A customer and its keys.
+/// A customer, its keys and its share of the capacity.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Customer {
@@ -53,43 +54,43 @@
     pub id: CustomerId,
     /// SHA-256 of each bearer key, in hexadecimal.
     pub key_sha256: Vec<String>,
-    /// How much it may send, over all daemons.
+    /// Quota over all daemons; unlimited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<Quota>,
-    /// Order between customers: those of a lower rank go first.
+    /// Priority among customers; those of a lower rank go first.
     #[serde(default)]
     pub rank: Rank,
-    /// Tiers it may wish for; a request without a wish gets the last one.
+    /// Tiers that its requests may ask for; a request that asks for none gets the last one.
     pub tiers: Vec<String>,
-    /// Share among customers of one tier, 1 by default.
+    /// Weight among the customers of one tier, 1 by default.
     #[serde(default = "default_one")]
     pub weight: u32,
 }
 
-/// How much a customer may send over all daemons: a rate, and what may come at once.
+/// Quota of a customer over all daemons: a token bucket with a rate and a burst.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Quota {
-    /// Units that may come at once after a quiet time.
+    /// Units that may be used at once after an idle period.
     pub burst: f64,
-    /// Units a second.
+    /// Units per second.
     pub per_s: f64,
-    /// What a request without a length counts as where units are tokens.
+    /// Units that a request without a token count uses if the unit is tokens.
     #[serde(default = "default_one")]
     pub plain_tokens: u32,
-    /// What is counted.
+    /// Unit in which usage is counted.
     pub unit: QuotaUnit,
 }
 
-/// What a quota counts.
+/// Unit of a quota.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum QuotaUnit {
-    /// Each request counts once.
+    /// Every request counts as one unit.
     #[default]
     #[display("requests")]
     Requests,
-    /// A request counts as the tokens of its prompt and the most it may generate.
+    /// A request counts as the tokens of its prompt plus the maximum number of tokens to generate.
     #[display("tokens")]
     Tokens,
 }
@@ -104,15 +105,15 @@
     pub key_sha256: Vec<String>,
 }
 
-/// What the targets of a pool are.
+/// Kind of the targets in a pool.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum PoolKind {
-    /// Model engines with continuous batching.
+    /// Inference engines with continuous batching.
     #[default]
     #[display("engine")]
     Engine,
-    /// Plain services, proxied with bodies untouched.
+    /// Plain services; bodies are proxied unchanged.
     #[display("service")]
     Service,
 }
@@ -123,132 +124,133 @@
 pub struct Pool {
     /// Name of the pool.
     pub id: PoolId,
-    /// What the targets are.
+    /// Kind of the targets.
     #[serde(default)]
     pub kind: PoolKind,
-    /// Whether the platform's list of targets names further ones.
+    /// Set if the platform's list of targets adds further targets to the pool.
     #[serde(default)]
     pub listed: bool,
-    /// Models served, none for services.
+    /// Models that the pool serves; empty for services.
     #[serde(default)]
     pub models: Vec<ModelId>,
-    /// The targets, over all data centres.
+    /// Targets in all data centres.
     pub targets: Vec<Target>,
-    /// Tokens in one event of a stream of its targets.
+    /// Number of tokens in one event of a streamed answer.
     #[serde(default = "default_one")]
     pub tokens_in_event: u32,
-    /// Most requests that wait in one data centre's queue of this pool.
+    /// Maximum length of this pool's queue in one data centre.
     #[serde(default = "default_waiting_limit")]
     pub waiting_limit: usize,
 }
 
-/// Whether a target checks the fencing number of an order.
+/// How a target treats the fencing token of an order.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// Refuses orders that carry an old number.
+    /// Refuses orders with an outdated token.
     Checked,
-    /// Ignores the number.
+    /// Ignores the token.
     #[default]
     Ignored,
 }
 
-/// Whether a target may get new work.
+/// State of a target with regard to new requests.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// Gets nothing new and finishes what it has.
+    /// Gets no new requests and finishes those in progress.
     #[display("draining")]
     Draining,
-    /// Gets work.
+    /// Gets new requests.
     #[default]
     #[display("live")]
     Live,
 }
 
-/// One engine or service instance.
+/// An engine or an instance of a plain service.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// IP number and port.
+    /// IP address and port.
     pub address: String,
-    /// When it started; a later one under the same name is another target.
+    /// Start time in milliseconds since the Unix epoch, 0 if unknown. A target that restarted
+    /// under the same name counts as a different instance.
     #[serde(rename = "born", default, skip_serializing_if = "is_unknown")]
     pub started_ms: StartTimeMs,
-    /// Where the target runs.
+    /// Data centre that the target runs in.
     pub data_centre: DataCentre,
-    /// Whether it checks fencing numbers.
+    /// How it treats fencing tokens.
     #[serde(default)]
     pub fencing: Fencing,
     /// Name of the target.
     pub id: TargetId,
-    /// Requests it runs at once.
+    /// Maximum number of requests that it runs concurrently.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Whether it may get new work.
+    /// State with regard to new requests.
     #[serde(default)]
     pub state: TargetState,
-    /// Name of its vm in the platform's list, if that is not the target's own name.
+    /// Name of its VM in the platform's list, if it differs from the name of the target.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub vm: Option<VmId>,
 }
 
-/// One rule: when this holds, then do that.
+/// A rule: conditions and the action for the requests that meet them.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// Stable name of the rule.
     pub id: RuleId,
-    /// What is done.
+    /// Action for matching requests.
     pub then: Then,
-    /// What must hold; an empty condition matches everything.
+    /// Conditions; without any, the rule matches every request.
     #[serde(default)]
     pub when: When,
 }
 
-/// Conditions; all that are given must hold.
+/// Conditions of a rule; a request matches if all that are present hold.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct When {
-    /// One of these customers.
+    /// The customer is one of these.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub customer: Option<Vec<CustomerId>>,
-    /// Entry daemon in one of these data centres.
+    /// The entry daemon is in one of these data centres.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub data_centre: Option<Vec<DataCentre>>,
-    /// Each header (name in lower case) has this value.
+    /// Each of these headers (names in lower case) has the given value.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub header: Option<IndexMap<String, String>>,
-    /// Hours of the day in UTC, from (inclusive) to (exclusive); may pass midnight.
+    /// The time of day is within these hours.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub hours: Option<Hours>,
-    /// Whether the request may run more than once.
+    /// The request is idempotent, or is not.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idempotent: Option<bool>,
-    /// Requests waiting in the pool's queue here, at least.
+    /// The queue of a pool in this data centre has at least this length.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub load: Option<Load>,
-    /// One of these models.
+    /// The model is one of these.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub model: Option<Vec<ModelId>>,
-    /// Path begins with this.
+    /// The path begins with this prefix.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub path: Option<String>,
-    /// Prompt length in tokens.
+    /// The prompt length in tokens is within this range.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub prompt_tokens: Option<Range>,
-    /// One of these tiers is wished for.
+    /// The requested tier is one of these.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tier: Option<Vec<String>>,
 }
 
-/// Hours of the day in UTC.
+/// Hours of the day in UTC, from `from` (inclusive) to `to` (exclusive); may span midnight.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Hours {
     /// First hour, 0 to 23.
     pub from: u8,
-    /// Hour after the last, 1 to 24.
+    /// Hour after the last one, 1 to 24.
     pub to: u8,
 }
 
@@ -256,13 +258,13 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// The pool looked at.
+    /// Pool whose queue is examined.
     pub pool: PoolId,
-    /// At least this many requests wait there.
+    /// Minimum number of waiting requests.
     pub waiting_at_least: usize,
 }
 
-/// An inclusive range; an absent end is open.
+/// An inclusive range; an absent bound is open.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Range {
@@ -274,81 +276,82 @@
     pub min: Option<u32>,
 }
 
-/// What a rule does; either `pool` or `refuse` is given.
+/// Action of a rule: sends the request to `pool` or to one of `split`, or refuses it.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Then {
-    /// Limits that the request must pass.
+    /// Limits on rate and concurrency.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limit: Option<Limit>,
-    /// Send it to this pool.
+    /// Pool that gets the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pool: Option<PoolId>,
-    /// Refuse it with this reason.
+    /// Refuses the request with this reason.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub refuse: Option<String>,
-    /// Send it to one of these pools, each as often as its weight says.
+    /// Pools that share the requests in proportion to their weights.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub split: Vec<WeightedPool>,
-    /// Data centres to try when this one refuses, in order.
+    /// Data centres to try in this order if this one refuses the request.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub spill: Vec<DataCentre>,
-    /// On what terms it is sent.
+    /// Retries, time limits and form of the answer.
     #[serde(skip_serializing_if = "Terms::is_default")]
     pub terms: Terms,
-    /// Set the tier.
+    /// Tier that replaces the one of the request.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tier: Option<String>,
-    /// Longest wait in the queue, in milliseconds.
+    /// Maximum wait in the queue, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub wait_at_most_ms: Option<u64>,
 }
 
-/// One pool among several.
+/// One of several pools that share requests by weight.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct WeightedPool {
     /// The pool.
     pub pool: PoolId,
-    /// How often it is taken, against the sum of all weights.
+    /// Weight of the pool; its share of the requests is the weight divided by the sum of all
+    /// weights.
     pub weight: u32,
 }
 
-/// On what terms a request is sent and answered.
+/// Retries, time limits and form of the answer of the requests that a rule matches.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Terms {
-    /// Callers need no key.
+    /// Accepts callers without a key.
     pub anonymous: bool,
-    /// Targets that one request may run on, 1 by default.
+    /// Maximum number of targets that may run one request, 1 by default.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub attempts: Option<u32>,
-    /// Whether the request may run more than once, whatever its caller says.
+    /// Overrides what the caller says about the request being idempotent.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub idempotent: Option<bool>,
-    /// Milliseconds in which callers expect the answer, or its first event where it is a stream.
+    /// Latency objective in milliseconds, until the answer or the first event of a stream.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub objective_ms: Option<u64>,
-    /// Longest pause between two events that callers expect, in milliseconds.
+    /// Objective for the longest pause between two events, in milliseconds.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub pause_ms: Option<u64>,
-    /// Whether another target may go on with a stream that broke off, after its last event.
+    /// Lets another target resume an interrupted stream after its last event.
     pub resumable: bool,
-    /// Whether the answer is a stream of events.
+    /// The answer is a stream of events.
     pub stream: bool,
-    /// Longest time until the answer, in milliseconds; a request over it is given up.
+    /// Timeout until the answer, in milliseconds; a request that exceeds it is abandoned.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub timeout_ms: Option<u64>,
 }
 
-/// Limits of one rule in one data centre.
+/// Rate and concurrency limits of one rule in one data centre.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limit {
-    /// Requests in progress at once.
+    /// Maximum number of requests in progress.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub concurrency: Option<u32>,
-    /// Count each customer by itself.
+    /// Applies the limits to each customer separately.
     pub per_customer: bool,
     /// Requests per second, with a burst of one second's worth.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -356,14 +359,14 @@
 }
 
 impl Document {
-    /// Position of a tier, `None` if it is not in the list.
+    /// Returns the position of a tier, `None` if there is no tier with this name.
     #[must_use]
     pub fn tier(&self, name: &str) -> Option<Tier> {
         let position = self.tiers.iter().position(|tier| tier == name)?;
         Tier::try_from(position).ok()
     }
 
-    /// The pool with this name.
+    /// Returns the pool with this name.
     #[must_use]
     pub fn pool(&self, id: &str) -> Option<&Pool> {
         self.pools.iter().find(|pool| pool.id == id)
@@ -371,7 +374,7 @@
 }
 
 impl Hours {
-    /// Whether the hours hold this hour of the day.
+    /// Returns `true` if `hour` is within these hours.
     #[must_use]
     pub fn contains(self, hour: u8) -> bool {
         if self.from < self.to {
@@ -383,7 +386,7 @@
 }
 
 impl Range {
-    /// Whether the range holds this value.
+    /// Returns `true` if `value` is within the range.
     #[must_use]
     pub fn contains(self, value: u32) -> bool {
         self.min.is_none_or(|min| min <= value) && self.max.is_none_or(|max| value <= max)
@@ -391,19 +394,19 @@
 }
 
 impl Terms {
-    /// Whether all is left to the defaults.
+    /// Returns `true` if every field has its default value.
     #[must_use]
     pub fn is_default(&self) -> bool {
         *self == Self::default()
     }
 
-    /// Time in which callers expect the answer or its first event.
+    /// Latency objective until the answer or the first event of a stream.
     #[must_use]
     pub fn objective(&self) -> Option<Duration> {
         self.objective_ms.map(Duration::from_millis)
     }
 
-    /// Longest time until the answer.
+    /// Timeout until the answer.
     #[must_use]
     pub fn timeout(&self) -> Option<Duration> {
         self.timeout_ms.map(Duration::from_millis)
@@ -411,7 +414,7 @@
 }
 
 impl Then {
-    /// Longest wait in the queue.
+    /// Maximum wait in the queue.
     #[must_use]
     pub fn wait_at_most(&self) -> Option<Duration> {
         self.wait_at_most_ms.map(Duration::from_millis)
--- a/crates/lilaccrank/src/error_kind.rs
+++ b/crates/lilaccrank/src/error_kind.rs
@@ -1,49 +1,49 @@
-//! The one closed list of reasons for which a request ends without its answer.
+//! The complete list of reasons for which a request fails, with the HTTP response of each.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Whether a refused request was run by a target.
+/// Tells if a target executed a request that failed.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Executed {
-    /// Some of it may have been run.
+    /// A target may have executed all or part of the request.
     #[display("maybe")]
     Maybe,
-    /// No target was given it, now or later.
+    /// No target executed the request or will execute it later.
     #[display("no")]
     No,
 }
 
-/// Why a request ends without its answer.
+/// Reason for which a request failed.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorKind {
-    /// An earlier request with this key has ended and its answer is no longer held.
+    /// An earlier request with this key has ended and its answer is no longer cached.
     #[display("already_run")]
     AlreadyRun,
-    /// The request could not be read.
+    /// The request is malformed.
     #[display("bad_request")]
     BadRequest,
-    /// The target stopped in the middle of its answer.
+    /// The answer of the target was incomplete or invalid.
     #[display("broken_answer")]
     BrokenAnswer,
-    /// The caller went away.
+    /// The caller disconnected.
     #[display("cancelled")]
     Cancelled,
     /// The deadline passed while the request ran.
     #[display("deadline_passed")]
     DeadlinePassed,
-    /// The deadline can't be met; nothing was started.
+    /// The deadline can't be met; the request was not sent.
     #[display("deadline_unmeetable")]
     DeadlineUnmeetable,
-    /// The customer may not use this tier, or the key is not an operator's.
+    /// The customer may not use this tier, or the key does not belong to an operator.
     #[display("forbidden")]
     Forbidden,
-    /// A fault of the daemon itself.
+    /// Internal error of the daemon.
     #[display("internal")]
     Internal,
-    /// The request key was used before for another body.
+    /// The request key was used before with a different body.
     #[display("key_reused")]
     KeyReused,
     /// The daemon is shutting down.
@@ -55,34 +55,34 @@
     /// No live target serves the pool.
     #[display("no_target")]
     NoTarget,
-    /// No such path.
+    /// The path does not exist.
     #[display("not_found")]
     NotFound,
     /// The daemon has no configuration yet.
     #[display("not_ready")]
     NotReady,
-    /// Work of this tier is being shed.
+    /// Requests of this tier are being shed.
     #[display("overloaded")]
     Overloaded,
-    /// Too many targets crashed while they ran the same request.
+    /// Too many targets crashed while running this request.
     #[display("quarantined")]
     Quarantined,
-    /// A limit of rate or concurrency is reached.
+    /// A rate or concurrency limit was reached.
     #[display("rate_limited")]
     RateLimited,
-    /// A rule refuses the request.
+    /// A rule refused the request.
     #[display("refused_by_rule")]
     RefusedByRule,
-    /// The platform's store can't be asked, and without it this request could run twice.
+    /// The platform's store is unavailable, and without it this request could run twice.
     #[display("store_unavailable")]
     StoreUnavailable,
     /// The target answered with an error.
     #[display("target_failed")]
     TargetFailed,
-    /// No target would run it, though they were asked.
+    /// The targets that were tried refused the request.
     #[display("target_refused")]
     TargetRefused,
-    /// The target went silent.
+    /// The target stopped responding.
     #[display("target_silent")]
     TargetSilent,
     /// The body is larger than the limit.
@@ -96,19 +96,19 @@
     UnknownModel,
 }
 
-/// What a caller is told for a kind of error.
+/// Response that callers get for an [`ErrorKind`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ErrorResponse {
-    /// Whether a target may have run the request, unless the place of failure knows better.
+    /// Default for whether a target executed the request; code that knows more overrides it.
     pub executed: Executed,
-    /// Whether the same request can succeed later, so that a `Retry-After` makes sense.
+    /// The same request can succeed later, so that the response carries `Retry-After`.
     pub retryable: bool,
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
 }
 
 impl ErrorKind {
-    /// Every kind, in the order of the list.
+    /// All kinds, in order of declaration.
     pub const ALL: [Self; 25] = [
         Self::AlreadyRun,
         Self::BadRequest,
@@ -137,13 +137,13 @@
         Self::UnknownModel,
     ];
 
-    /// Whether the reason says nothing about the target.
+    /// Returns `true` if the failure says nothing about the health of the target.
     #[must_use]
     pub fn is_unrelated_to_target(self) -> bool {
         matches!(self, Self::Cancelled | Self::DeadlinePassed | Self::Leaving)
     }
 
-    /// The table from kind to answer.
+    /// Returns the response for this kind.
     #[must_use]
     pub fn response(self) -> ErrorResponse {
         let (status, executed, retryable) = match self {
--- a/crates/lilaccrank/src/guarded_store.rs
+++ b/crates/lilaccrank/src/guarded_store.rs
@@ -1,8 +1,8 @@
-//! A store behind a circuit and a budget of retries.
+//! A store client with a circuit breaker and a retry budget.
 //!
-//! A cut-off data centre keeps asking for a store that does not answer, and when the store comes
-//! back every client asks at once. Behind this wrapper the calls of each client stop while the
-//! store is away, and come back one trial at a time, spread evenly.
+//! While the store can't be reached, for instance from a data centre that is cut off, clients
+//! would keep calling it, and all would call at once when it recovers. This wrapper suspends the
+//! calls of each client during an outage and resumes them one trial call at a time, with jitter.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -17,24 +17,25 @@
 use crate::retry_budget::{self, RetryBudget};
 use crate::store::{Error, Expect, Result, Store, Version, Versioned};
 
-/// Longest wait of a watch that is the trial of a half-open circuit. A quiet object would
-/// otherwise keep the circuit half open for as long as the watch, and all other calls out.
+/// Maximum wait of a watch that is the trial call. A watch on an object that doesn't change would
+/// otherwise keep the circuit breaker half open, and reject all other calls, for its whole
+/// duration.
 const MAX_TRIAL_WATCH: Duration = Duration::from_millis(500);
 
-/// Circuit, budget and tries of a guarded store.
+/// Settings of a [`GuardedStore`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The retry budget.
+    /// Retry budget.
     pub budget: retry_budget::Settings,
-    /// Longest wait for an answer; a watch may take its own time besides.
+    /// Timeout of a call; the wait of a watch is added to it.
     pub call_timeout: Duration,
-    /// The circuit.
+    /// Circuit breaker.
     pub circuit: circuit_breaker::Settings,
-    /// Ceiling of the first wait between tries.
+    /// Ceiling of the first wait between attempts.
     pub initial_wait: Duration,
-    /// Highest ceiling of a wait.
+    /// Maximum ceiling of a wait between attempts.
     pub max_wait: Duration,
-    /// Tries of one call, the first included.
+    /// Maximum number of attempts of one call, including the first.
     pub max_attempts: u32,
 }
 
@@ -51,7 +52,7 @@
     }
 }
 
-/// A store whose calls are limited while it fails; clones share the limits.
+/// A store client that limits its calls while the store fails; clones share the limits.
 #[derive(Clone)]
 pub struct GuardedStore<S, C> {
     budget: Rc<RefCell<RetryBudget>>,
@@ -61,16 +62,16 @@
     store: S,
 }
 
-/// Whether a call may be made again after [`Error::Unknown`].
+/// Decides whether a call may be retried after [`Error::Unknown`].
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum CallKind {
     Read,
-    /// It may have taken effect: only its caller can tell by reading back.
+    /// Not retried: it may have taken effect, which only the caller can find out by reading back.
     Write,
 }
 
 impl<S: Store, C: Clock> GuardedStore<S, C> {
-    /// Guards `store`.
+    /// Wraps `store`.
     pub fn new(cfg: Settings, store: S, clock: C) -> Self {
         let budget = RetryBudget::new(cfg.budget.clone(), clock.now());
         Self {
@@ -82,7 +83,8 @@
         }
     }
 
-    /// `once` makes the call; it is given how long the store may wait before it answers.
+    /// Calls `attempt` until its result is final. `attempt` gets the time for which the store may
+    /// delay its answer.
     async fn call<T, F>(
         &self,
         kind: CallKind,
@@ -96,7 +98,7 @@
         let mut backoff = Backoff::new(self.cfg.initial_wait, self.cfg.max_wait);
         let mut attempts = 1;
         loop {
-            // An open circuit ends the call: retries against it would only use up the budget.
+            // Retries against an open circuit breaker would only use up the budget.
             let Ok(permit) = self.circuit.permit() else {
                 return Err(Error::Unavailable);
             };
@@ -123,7 +125,7 @@
     }
 }
 
-/// Tells the circuit what came of a call. A conflict is an answer like any other.
+/// Reports the outcome of a call to the circuit breaker. A conflict shows that the store works.
 fn record_outcome<T, C: Clock>(permit: Permit<C>, outcome: &Result<T>) {
     match outcome {
         Ok(_) | Err(Error::Conflict { .. } | Error::TooLarge { .. }) => permit.succeeded(),
@@ -132,7 +134,7 @@
     }
 }
 
-/// Least wait before the call may be made again; `None` if its outcome stands.
+/// Minimum wait before the call may be retried; `None` if its outcome is final.
 fn retry_after<T>(kind: CallKind, outcome: &Result<T>) -> Option<Duration> {
     match outcome {
         Err(Error::Throttled { retry_after }) => Some(*retry_after),
--- a/crates/lilaccrank/src/ids.rs
+++ b/crates/lilaccrank/src/ids.rs
@@ -1,34 +1,35 @@
-//! Aliases for the identifiers that cross module borders.
+//! Type aliases of identifiers that several modules use.
 
-/// When a target started, in milliseconds since 1970; 0 where it doesn't say.
+/// Start time of a target in milliseconds since the Unix epoch; 0 if unknown.
 pub type StartTimeMs = u64;
-/// Digest of what a request asks for and who asks, the same for each attempt.
+/// Digest of the content and the customer of a request, equal for each of its attempts.
 pub type ContentDigest = u64;
-/// A customer, as named in the configuration.
+/// Name of a customer in the configuration.
 pub type CustomerId = String;
-/// A data centre, as named in the settings of each daemon and of each target.
+/// Name of a data centre in the settings of daemons and targets.
 pub type DataCentre = String;
-/// A configuration's position in the order of all publications, from 1.
+/// Position of a configuration in the sequence of all publications, from 1.
 pub type Generation = u64;
-/// Counts the lives of one vm: a replaced or restarted daemon has a higher one.
+/// Incarnation number of the daemon on a VM; a replaced or restarted daemon has a higher one.
 pub type Incarnation = u64;
-/// A model, as callers name it.
+/// Name of a model in the requests of callers.
 pub type ModelId = String;
-/// A pool of targets that serve the same requests.
+/// Name of a pool of targets that serve the same requests.
 pub type PoolId = String;
-/// Names one attempt to publish, so that a lost answer can be resolved by reading it back.
+/// Identifies one attempt to publish. If the answer is lost, the publisher finds out by it
+/// whether the attempt succeeded.
 pub type PublicationId = String;
-/// Order between customers; those of a lower rank go first, whatever the tiers of their requests.
+/// Priority of a customer. Lower ranks go first, regardless of the tiers of the requests.
 pub type Rank = u8;
-/// One request inside the system, unique over daemons and time.
+/// Internal identifier of a request, unique across daemons and restarts.
 pub type RequestId = String;
-/// The caller's own name for a request (`Idempotency-Key`).
+/// Idempotency key that the caller chose for a request (`Idempotency-Key` header).
 pub type RequestKey = String;
-/// A rule, as named in the configuration.
+/// Name of a rule in the configuration.
 pub type RuleId = String;
-/// A target: one engine or one plain service instance.
+/// Name of a target: an engine or an instance of a plain service.
 pub type TargetId = String;
-/// Position of a tier in the configuration's list; 0 is the most urgent.
+/// Position of a tier in the configuration; 0 is the most urgent.
 pub type Tier = u8;
-/// An entry vm, the machine that one daemon runs on.
+/// Name of a VM that runs an entry daemon.
 pub type VmId = String;
--- a/crates/lilaccrank/src/lib.rs
+++ b/crates/lilaccrank/src/lib.rs
@@ -1,8 +1,9 @@
-//! Coordination parts of lilaccrank, a request scheduler for unlike engines.
+//! Scheduling and coordination library of lilaccrank, a request scheduler for heterogeneous
+//! inference engines.
 //!
-//! Everything here runs on ports (a [`clock`], a [`store`], [`peers`]) and can be embedded
-//! without the daemon. Sizes are in bytes, lengths in tokens, times in [`std::time::Duration`]
-//! unless a name says otherwise.
+//! All I/O goes through traits ([`clock`], [`store`], [`peers`]), so the library can be embedded
+//! without the daemon. Unless a name says otherwise, sizes are in bytes, lengths in tokens and
+//! times are [`std::time::Duration`]s.
 
 pub mod advisories;
 pub mod attempts;
--- a/crates/lilaccrank/src/membership.rs
+++ b/crates/lilaccrank/src/membership.rs
@@ -1,13 +1,13 @@
-//! Membership of the daemons of one data centre, by gossip over datagrams.
+//! SWIM-style gossip membership of the daemons in one data centre, over datagrams.
 //!
-//! Each member probes one random other per period, directly and then through helpers. Who does
-//! not answer is suspected, and declared dead unless it refutes that by a higher incarnation
-//! in time. Changes travel on the probes; a slow comparison of whole tables mends what was lost.
-//! The platform's list of vms only says where to look for members: it lags, so it declares none
-//! live or dead.
+//! In each period a member probes one random other member, directly and then through other
+//! members. A member that does not answer is suspected, and is declared dead unless it refutes
+//! the suspicion with a higher incarnation in time. Updates are piggybacked on the probes; a
+//! periodic comparison of whole tables repairs lost updates. The platform's list of VMs only
+//! provides seed addresses: it lags behind, so it never decides that a member is live or dead.
 //!
-//! [`new`] returns a cheap handle and the [`Gossip`] that does the work once it is run. The
-//! gossip port belongs on the network of the system's own vms: messages are not signed.
+//! [`new`] returns a cheap handle and the [`Gossip`] task that has to be run. Messages are not
+//! signed, so the gossip port must only be reachable from the network of the system's own VMs.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -37,22 +37,22 @@
 
 use table::Table;
 
-/// The members as one daemon sees them at one moment.
+/// The members that one daemon knows at one moment.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
-    /// Members that may own duties, this daemon among them unless it leaves; sorted by vm.
+    /// Members that may own duties, sorted by VM; includes this daemon unless it is leaving.
     pub members: Rc<[Member]>,
-    /// Grows with each change of what this daemon knows.
+    /// Version of the table; increases with each change.
     pub version: u64,
 }
 
-/// Handle to the membership; clones share one state.
+/// Handle to the membership; clones share their state.
 #[derive(Clone)]
 pub struct Membership {
     shared: Rc<Shared>,
 }
 
-/// What the handle asks of the running gossip.
+/// A request of the handle to the gossip task.
 enum Command {
     ProbeHint(VmId),
     Leave(oneshot::Sender<()>),
@@ -70,8 +70,8 @@
     woken_version: Cell<u64>,
 }
 
-/// Makes the membership of `me`. `me.incarnation` is its start time in milliseconds; its state
-/// is taken as live.
+/// Creates the membership of `me`. `me.incarnation` is the start time in milliseconds;
+/// `me.state` is ignored and set to live.
 pub fn new<C: Clock, D: datagrams::Datagrams>(
     cfg: Settings,
     mut me: Member,
@@ -96,7 +96,7 @@
 }
 
 impl Membership {
-    /// All members known, the leaving and the dead included; sorted by vm.
+    /// Returns all known members, including leaving and dead ones, sorted by VM.
     #[must_use]
     pub fn all(&self) -> Vec<Member> {
         let mut members: Vec<_> = self.shared.table.borrow().all().cloned().collect();
@@ -104,31 +104,31 @@
         members
     }
 
-    /// Waits until the version differs from `seen`; returns the new one.
+    /// Waits until the version differs from `seen` and returns the new version.
     pub async fn changed(&self, seen: u64) -> u64 {
         self.shared
             .wait_until(|table| (table.version != seen).then_some(table.version))
             .await
     }
 
-    /// How often this daemon learned that the others had declared it dead.
+    /// Returns how often this daemon learned that other members had declared it dead.
     #[must_use]
     pub fn declared_dead_count(&self) -> u64 {
         self.shared.table.borrow().declared_dead
     }
 
-    /// Announces to all that this daemon takes no new work. The gossip has to keep running
-    /// until this returns, and should as long as requests are in progress.
+    /// Announces to all members that this daemon is leaving and takes no new work. The gossip
+    /// task has to run until this returns, and should run while requests are in progress.
     pub async fn leave(&self) {
         let (tx, rx) = oneshot::channel();
         let sent = self.shared.commands.unbounded_send(Command::Leave(tx));
         if sent.is_ok() {
-            // An error means that the gossip was dropped: then there is nobody left to tell.
+            // An error means that the gossip task was dropped and can't announce anything.
             let _ = rx.await;
         }
     }
 
-    /// The members that may own duties.
+    /// Returns the members that may own duties.
     #[must_use]
     pub fn live(&self) -> Snapshot {
         let table = self.shared.table.borrow();
@@ -152,41 +152,41 @@
         snapshot
     }
 
-    /// The record of one member, in whatever state.
+    /// Returns the record of a member, regardless of its state.
     #[must_use]
     pub fn find(&self, vm: &VmId) -> Option<Member> {
         self.shared.table.borrow().get(vm).cloned()
     }
 
-    /// Counts the changes of the members.
+    /// Returns the version of the table, which increases with each change.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.shared.table.borrow().version
     }
 
-    /// This daemon's own record.
+    /// Returns the record of this daemon.
     #[must_use]
     pub fn me(&self) -> Member {
         self.shared.table.borrow().me().clone()
     }
 
-    /// Waits until this daemon has learned more than `seen` times that the others had declared
-    /// it dead; returns the new count. Another may have taken over: whatever it granted and
-    /// whatever duties it held before are void.
+    /// Waits until this daemon has learned more than `seen` times that other members declared it
+    /// dead, and returns the new count. Another daemon may have taken over by then, so the grants
+    /// and duties that this daemon held before are void.
     pub async fn self_was_declared_dead(&self, seen: u64) -> u64 {
         self.shared
             .wait_until(|table| (table.declared_dead > seen).then_some(table.declared_dead))
             .await
     }
 
-    /// Sets where to look for members that are not known: the settings' list, or the platform's
-    /// lagging one.
+    /// Sets the seed addresses at which unknown members are looked for: those of the settings or
+    /// those of the platform's list, which lags behind.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.shared.seeds.borrow_mut() = seeds;
     }
 
-    /// Hints that `vm` seems gone, for instance since it refused a connection. It is probed at
-    /// once; the hint alone never declares it dead.
+    /// Reports that `vm` seems to be down, for instance because it refused a connection. The
+    /// member is probed at once; the report alone never declares it dead.
     pub fn suspect(&self, vm: &str) {
         self.shared.send(Command::ProbeHint(vm.to_owned()));
     }
@@ -195,11 +195,11 @@
 impl Shared {
     fn send(&self, command: Command) {
         if self.commands.unbounded_send(command).is_err() {
-            log::debug!("membership: gossip no longer runs");
+            log::debug!("membership: command dropped, the gossip task has ended");
         }
     }
 
-    /// Changes the table and wakes who waits for a change.
+    /// Applies `change` to the table and wakes the waiting tasks if the version changed.
     fn update<T>(&self, change: impl FnOnce(&mut Table) -> T) -> T {
         let (output, version) = {
             let mut table = self.table.borrow_mut();
--- a/crates/lilaccrank/src/operators.rs
+++ b/crates/lilaccrank/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators and daemons say to each other, in JSON over the daemon's admin address.
+//! Messages of the admin API between operators and daemons, in JSON.
 
 pub mod failure;
 pub mod order;
@@ -19,82 +19,83 @@
 pub use order::{OperatorOrder, OperatorOrderKind, OrderOutcome};
 pub use status::Status;
 
-/// A configuration with its document.
+/// A published configuration with its document.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ConfigurationView {
-    /// The operator who published it.
+    /// Operator who published it.
     pub author: String,
-    /// The document.
+    /// Content of the configuration.
     pub document: Document,
-    /// Its name.
+    /// Identity of the configuration.
     pub identity: Identity,
 }
 
-/// Asks to put a document in force.
+/// Request to publish a document.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishRequest {
-    /// The configuration that the document was made from.
+    /// Configuration that the document was derived from.
     pub base: Identity,
-    /// The document, in JSON of any shape, so that each mistake can be answered with its spot.
+    /// The document as untyped JSON, so that errors can be reported with their positions.
     pub document: Value,
-    /// Names this attempt; the same id never publishes twice.
+    /// Identifies this attempt; one id is never published twice.
     pub id: PublicationId,
 }
 
-/// The publication is accepted, and no live daemon of the data centre can displace it.
+/// Reply to a publication that was accepted and that no live daemon of the data centre can
+/// displace any more.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Published {
-    /// The name it got.
+    /// Identity that the publication got.
     pub identity: Identity,
-    /// Live members that did not tell what they hold.
+    /// Live members that did not report which configuration they hold.
     #[serde(rename = "unheard")]
     pub unresponsive: Vec<VmId>,
 }
 
-/// The configuration in force and those that it was made from.
+/// The current configuration and those that it was derived from.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct History {
-    /// The youngest first.
+    /// Generations, the newest first.
     pub entries: Vec<HistoryEntry>,
 }
 
-/// One generation.
+/// One generation of the configuration.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct HistoryEntry {
-    /// The operator who published it, `None` if its manifest is no longer kept.
+    /// Operator who published it; `None` if its manifest is no longer stored.
     pub author: Option<String>,
-    /// Its name.
+    /// Identity of the generation.
     pub identity: Identity,
 }
 
-/// Asks which rule decides a request.
+/// Request to explain which rule applies to a request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExplainRequest {
-    /// Load and time, if not those of now.
+    /// Load and time to assume; the current ones if absent.
     #[serde(default)]
     pub environment: Option<Environment>,
-    /// The request.
+    /// Properties of the request.
     pub facts: Facts,
 }
 
-/// Events of one daemon.
+/// Timeline events of one daemon.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TimelineReply {
-    /// Events that were lost to newer ones since the daemon started.
+    /// Number of events that newer ones have displaced since the daemon started.
     pub dropped: u64,
-    /// The events asked for, the oldest first.
+    /// Requested events, the oldest first.
     pub events: Vec<Event>,
-    /// The daemon.
+    /// VM of the daemon.
     pub vm: VmId,
 }
 
-/// The daemon has begun to leave.
+/// Reply of a daemon that started to shut down.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct LeaveReply {
-    /// Requests that it will finish first.
+    /// Number of requests that it will finish first.
     pub in_progress: usize,
-    /// The daemon.
+    /// VM of the daemon.
     pub vm: VmId,
 }
--- a/crates/lilaccrank/src/orders.rs
+++ b/crates/lilaccrank/src/orders.rs
@@ -1,9 +1,9 @@
-//! Orders to targets under a lease: drain, load a model, change role.
+//! Orders to targets, sent under a lease: drain, load a model, change role.
 //!
-//! A target that checks the fencing number refuses a late order of an earlier holder by itself.
-//! For one that ignores it, the first order under a new number waits until no earlier holder
-//! can start an order any more, and until all that it started have arrived. An order names the
-//! state wanted and has an id, so that sending it again is harmless.
+//! A target that checks fencing tokens refuses a delayed order of a previous lease holder. For a
+//! target that ignores them, the first order under a new token waits until no previous holder can
+//! send an order any more and all orders that it sent have arrived. An order names the desired
+//! state and has an id, so that repeating it is harmless.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -21,64 +21,64 @@
 use crate::ids::{ModelId, TargetId};
 use crate::lease::{self, Fence, Guard, Guards};
 
-/// Result of giving an order.
+/// Result of issuing an order.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why an order was not carried out, as far as known.
+/// Reason for which an order failed, as far as known.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// This daemon may not give orders; nothing was sent.
+    /// This daemon does not hold the lease; nothing was sent.
     #[error(transparent)]
     Lease(#[from] lease::Error),
-    /// The target has seen a higher number: another holds the lease.
+    /// The target has seen a higher fencing token: another daemon holds the lease.
     #[error("target {target} refused number {fence}")]
     Superseded {
-        /// Number that was sent.
+        /// Fencing token that was sent.
         fence: Fence,
-        /// Who refused it.
+        /// Target that refused it.
         target: TargetId,
     },
-    /// The target can't carry it out.
+    /// The target can't execute the order.
     #[error("target {target} refused the order: {reason}")]
     Refused {
-        /// Its words.
+        /// Reason given by the target.
         reason: String,
-        /// Who refused.
+        /// Target that refused it.
         target: TargetId,
     },
-    /// No answer came; the order may be carried out. Give it again.
+    /// The target did not answer and may execute the order. The caller should issue it again.
     #[error("target {0} did not answer, the order may be carried out")]
     Unknown(TargetId),
-    /// No connection could be made; nothing was sent.
+    /// The connection failed; nothing was sent.
     #[error("target {0} can't be reached, nothing was sent")]
     Unreachable(TargetId),
 }
 
-/// State that a target is to reach.
+/// Desired state of a target.
 #[derive(Clone, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "kind")]
 pub enum Command {
-    /// Finish what runs and take nothing new.
+    /// Finishes requests in progress and accepts no new ones.
     #[display("drain")]
     Drain,
-    /// Have this model ready.
+    /// Loads a model.
     #[display("load {model}")]
     LoadModel {
-        /// The model.
+        /// Model to load.
         model: ModelId,
     },
-    /// Take new work again after a drain.
+    /// Accepts new requests again after a drain.
     #[display("resume")]
     Resume,
-    /// Serve in this role.
+    /// Changes the role of an engine.
     #[display("be {role}")]
     SetRole {
-        /// The role.
+        /// New role.
         role: Role,
     },
 }
 
-/// What part of the work an engine does.
+/// Phases of inference that an engine runs.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
@@ -93,41 +93,41 @@
     Prefill,
 }
 
-/// One order as sent.
+/// An order as it is sent to a target.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Order {
-    /// State to reach.
+    /// Desired state.
     pub command: Command,
-    /// Number of the lease.
+    /// Fencing token of the lease.
     pub fence: Fence,
-    /// Equal for each repetition of one order.
+    /// Identifier of the order, equal for all its repetitions.
     pub id: String,
 }
 
-/// Where an order goes.
+/// Target of an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderTarget {
-    /// Whether it checks the number.
+    /// How the target treats fencing tokens.
     pub fencing: Fencing,
-    /// Its name.
+    /// Name of the target.
     pub id: TargetId,
 }
 
-/// The port to the targets' control side.
+/// Interface to the control endpoints of the targets.
 pub trait Targets {
-    /// Sends an order once. The future may be dropped when its time is up: the adapter must
-    /// then send nothing more, and give up each connection on which it has begun to.
+    /// Sends an order once. The future may be dropped when it times out. The implementation must
+    /// then send nothing more and close every connection on which it started to send.
     fn issue(&self, target: &TargetId, order: &Order) -> impl Future<Output = Result<()>>;
 }
 
-/// Times of orders.
+/// Time limits and retries of orders.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// Longest time from the start of an order until it can no longer reach its target.
+    /// Maximum time between sending an order and its arrival at the target.
     pub in_flight: Duration,
-    /// Longest wait for the answer; no longer than `in_flight`.
+    /// Timeout for the answer; at most `in_flight`.
     pub timeout: Duration,
-    /// Times an order is sent while no answer comes.
+    /// Maximum number of times that an unanswered order is sent.
     pub max_attempts: u32,
 }
 
@@ -141,7 +141,7 @@
     }
 }
 
-/// Gives orders as long as a lease allows, one at a time to each target.
+/// Issues orders while this daemon holds the lease, one at a time to each target.
 pub struct Orders<C, G, T> {
     cfg: Settings,
     clock: C,
@@ -150,18 +150,19 @@
     targets: T,
 }
 
-/// The way to one target.
+/// Serializes the orders to one target.
 ///
-/// Two orders of one holder carry the same number, so no target can tell which is the later. If
-/// the second went out while the first may still arrive, the target could end in the state of
-/// the first. So an order without an answer keeps the way closed until it can't arrive any more.
+/// Two orders of one holder carry the same fencing token, so a target can't tell which one is
+/// newer. If the second were sent while the first may still arrive, the target could end in the
+/// state of the first. An unanswered order therefore blocks further orders until it can no longer
+/// arrive.
 #[derive(Default)]
 struct TargetLock {
     blocked_until: Mutex<Option<Instant>>,
 }
 
 impl<C: Clock, G: Guards, T: Targets> Orders<C, G, T> {
-    /// Gives orders to `targets` under `guards`.
+    /// Creates an issuer of orders to `targets` under the lease that `guards` checks.
     pub fn new(cfg: Settings, clock: C, guards: G, targets: T) -> Self {
         Self {
             cfg,
@@ -172,7 +173,12 @@
         }
     }
 
-    /// Gives one order. `id` names it for all its repetitions.
+    /// Issues one order. Repetitions of an order must have the same `id`.
+    ///
+    /// # Errors
+    ///
+    /// After [`Error::Unknown`] the target may have executed the order; all other errors mean that
+    /// it did not.
     pub async fn issue(&self, target: &OrderTarget, id: &str, command: Command) -> Result<()> {
         let target_lock = self.target_lock(&target.id);
         let mut blocked_until = target_lock.blocked_until.lock().await;
@@ -191,13 +197,13 @@
             attempts += 1;
             match outcome {
                 Err(Error::Unknown(_)) if attempts < self.cfg.max_attempts => {}
-                // An earlier try may have arrived, whatever became of this one.
+                // An earlier attempt may have arrived even if this one failed.
                 Err(_) if attempts > 1 => return Err(Error::Unknown(target.id.clone())),
                 outcome => return outcome,
             }
             self.wait_until_unblocked(&mut blocked_until).await;
-            // The lease may have been with another meanwhile, who gave another order. Sent again
-            // under a new number, this one would undo it.
+            // Another daemon may have held the lease in the meantime and issued a newer order.
+            // Repeating this order under a new fencing token would undo it.
             let guard = self.guards.guard();
             if !guard.is_ok_and(|guard| guard.fence == order.fence) {
                 return Err(Error::Unknown(target.id.clone()));
@@ -211,7 +217,7 @@
         order: &Order,
         blocked_until: &mut Option<Instant>,
     ) -> Result<()> {
-        // Set before sending, since this future may be dropped at any later point.
+        // Set before sending, because this future may be dropped at any await point.
         *blocked_until = Some(self.clock.now() + self.cfg.in_flight);
         let call = self.targets.issue(target, order);
         let answer = clock::timeout(&self.clock, self.cfg.timeout, call).await;
@@ -222,7 +228,7 @@
         outcome
     }
 
-    /// Waits until what was sent without an answer can't arrive any more.
+    /// Waits until an unanswered order can no longer arrive.
     async fn wait_until_unblocked(&self, blocked_until: &mut Option<Instant>) {
         if let Some(until) = *blocked_until {
             let wait = until.saturating_duration_since(self.clock.now());
@@ -231,7 +237,7 @@
         *blocked_until = None;
     }
 
-    /// The lane of a target. Targets come and go, so a new one drops those that nobody needs.
+    /// Returns the lock of a target. Since targets come and go, adding a lock drops unused ones.
     fn target_lock(&self, target: &TargetId) -> Rc<TargetLock> {
         let mut target_locks = self.target_locks.borrow_mut();
         if !target_locks.contains_key(target) {
@@ -241,10 +247,11 @@
         Rc::clone(target_locks.entry(target.clone()).or_default())
     }
 
-    /// An earlier holder may have started an order in the last moment of its lease; a target
-    /// that ignores the number would carry it out after a newer one, and end in a state that
-    /// nobody wants now. After this wait all such orders have arrived or are lost. The lease may
-    /// change hands meanwhile, and then the wait starts anew.
+    /// Waits until all orders of previous holders have arrived or are lost.
+    ///
+    /// A previous holder may have sent an order at the very end of its lease. A target that
+    /// ignores fencing tokens would execute it after a newer one and end in an outdated state.
+    /// If the lease changes hands during the wait, the wait starts again.
     async fn wait_for_previous_holder(&self) -> Result<()> {
         loop {
             let wait = self.remaining_wait(&self.guards.guard()?);
--- a/crates/lilaccrank/src/paused_clock.rs
+++ b/crates/lilaccrank/src/paused_clock.rs
@@ -1,4 +1,4 @@
-//! A clock that stands still until a test advances it.
+//! A clock for tests that only moves when it is advanced.
 
 use std::cell::RefCell;
 use std::future::{self, Future};
@@ -8,7 +8,7 @@
 
 use crate::clock::{BootTime, Clock};
 
-/// A paused clock; clones share one time. Use it with a single-threaded executor such as
+/// A paused clock; clones share their time. Use it with a single-threaded executor such as
 /// [`futures::executor::LocalPool`]: run until stalled, [`advance`](Self::advance), repeat.
 #[derive(Clone)]
 pub struct PausedClock {
@@ -23,7 +23,7 @@
 }
 
 impl PausedClock {
-    /// A clock that starts now and stands still.
+    /// Creates a paused clock.
     #[must_use]
     pub fn new() -> Self {
         let inner = Inner {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Moves time on and wakes every sleeper, which then looks at the time itself.
+    /// Advances the time and wakes all sleeping tasks, which check the time themselves.
     pub fn advance(&self, duration: Duration) {
         let wakers = {
             let mut inner = self.inner.borrow_mut();
@@ -47,12 +47,12 @@
         wakers.into_iter().for_each(Waker::wake);
     }
 
-    /// The machine is suspended for this long: only the time since its start goes on.
+    /// Simulates a suspend of the machine: advances only the time since boot.
     pub fn suspend(&self, duration: Duration) {
         self.inner.borrow_mut().suspended += duration;
     }
 
-    /// Time advanced since the clock was made.
+    /// Returns the time by which the clock was advanced since it was created.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
         self.inner.borrow().elapsed
--- a/crates/lilaccrank/src/rendezvous.rs
+++ b/crates/lilaccrank/src/rendezvous.rs
@@ -1,6 +1,7 @@
-//! Duties by highest random weight: every daemon that sees the same members ranks them alike.
+//! Rendezvous hashing (highest random weight) of keys to members.
 //!
-//! A member that leaves moves only its own duties; all others keep their owner.
+//! Daemons that see the same members compute the same owners. When a member leaves, only the keys
+//! that it owned get another owner.
 
 use std::cmp::Reverse;
 
@@ -8,21 +9,21 @@
 
 use crate::ids::VmId;
 
-/// Owner of a duty and the holder of its second copy.
+/// The owner of a key and the member that takes over from it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Owners<'a> {
     /// The member with the highest weight.
     pub primary: &'a VmId,
-    /// The next one, `None` if there is only one member.
+    /// The member with the second highest weight, `None` if there is only one member.
     pub backup: Option<&'a VmId>,
 }
 
-/// The member that owns `duty`; `None` without members.
+/// Returns the member that owns `key`; `None` without members.
 pub fn owner<'a>(key: &str, members: impl IntoIterator<Item = &'a VmId>) -> Option<&'a VmId> {
     owners(key, members).map(|owners| owners.primary)
 }
 
-/// The owner of `duty` and its second copy, in one pass; `None` without members.
+/// Returns the owner of `key` and its backup in one pass; `None` without members.
 pub fn owners<'a>(key: &str, members: impl IntoIterator<Item = &'a VmId>) -> Option<Owners<'a>> {
     let mut best: Option<(u64, &VmId)> = None;
     let mut next: Option<(u64, &VmId)> = None;
@@ -41,7 +42,7 @@
     })
 }
 
-/// The `count` members with the highest weights for `duty`, the highest first.
+/// Returns the `count` members with the highest weights for `key`, the highest first.
 pub fn top<'a>(
     key: &str,
     members: impl IntoIterator<Item = &'a VmId>,
@@ -62,7 +63,7 @@
     weighted.into_iter().map(|Reverse((_, vm))| vm).collect()
 }
 
-/// Weight of `vm` for `duty`; equal weights are ordered by name.
+/// Returns the weight of `vm` for `key`. Members of equal weight are ordered by name.
 #[must_use]
 pub fn weight(key: &str, vm: &str) -> u64 {
     xxh3::xxh3_64_with_seed(vm.as_bytes(), xxh3::xxh3_64(key.as_bytes()))
--- a/crates/lilaccrank/src/retry_budget.rs
+++ b/crates/lilaccrank/src/retry_budget.rs
@@ -1,18 +1,18 @@
-//! Retries as a bounded share of calls, for each destination by itself.
+//! Retry budgets, which limit retries to a share of the calls to a destination.
 //!
-//! A fixed number of tries per call multiplies the load on a destination just when it fails.
-//! With a budget, retries add at most a set share, however many calls fail.
+//! A fixed number of attempts per call multiplies the load on a destination exactly when it
+//! fails. With a budget, retries add at most a fixed share, however many calls fail.
 
 use std::time::{Duration, Instant};
 
 use indexmap::IndexMap;
 
-/// Share and reserve of retries.
+/// Settings of a retry budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Retries saved up at most.
+    /// Maximum number of retries that accumulate.
     pub capacity: f64,
-    /// Retries per second besides the share, so that rare calls can be retried as well.
+    /// Retries per second in addition to `ratio`, so that infrequent calls can be retried too.
     pub per_second: f64,
     /// Retries per call.
     pub ratio: f64,
@@ -28,7 +28,7 @@
     }
 }
 
-/// Budget of one destination.
+/// Retry budget of one destination.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     balance: f64,
@@ -37,7 +37,7 @@
 }
 
 impl RetryBudget {
-    /// A budget with a full reserve.
+    /// Creates a full budget.
     #[must_use]
     pub fn new(cfg: Settings, now: Instant) -> Self {
         Self {
@@ -47,12 +47,12 @@
         }
     }
 
-    /// Counts a first try.
+    /// Records the first attempt of a call.
     pub fn record_call(&mut self) {
         self.deposit(self.cfg.ratio);
     }
 
-    /// Whether there is a retry in the budget.
+    /// Returns `true` if the budget allows a retry.
     pub fn has_retry(&mut self, now: Instant) -> bool {
         let passed = now.saturating_duration_since(self.filled_at);
         self.filled_at = now;
@@ -60,7 +60,7 @@
         self.balance >= 1.0
     }
 
-    /// Takes one retry out of the budget; false if there is none.
+    /// Takes one retry from the budget. Returns `false` if there is none.
     pub fn try_retry(&mut self, now: Instant) -> bool {
         let allowed = self.has_retry(now);
         if allowed {
@@ -78,10 +78,10 @@
     }
 }
 
-/// How long the budget of an unused destination is kept.
+/// Time after which the budget of an unused destination is dropped.
 const IDLE_TTL: Duration = Duration::from_secs(600);
 
-/// Budgets by destination.
+/// Retry budgets by destination.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudgets {
     budgets: IndexMap<String, RetryBudget>,
@@ -89,7 +89,7 @@
 }
 
 impl RetryBudgets {
-    /// Budgets that all have these settings.
+    /// Creates an empty collection whose budgets all get these settings.
     #[must_use]
     pub fn new(cfg: Settings) -> Self {
         Self {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Changes how many retries are saved up at most, in all budgets.
+    /// Changes the capacity of all budgets and drops accumulated retries above it.
     pub fn set_capacity(&mut self, capacity: f64) {
         self.cfg.capacity = capacity;
         for budget in self.budgets.values_mut() {
@@ -107,8 +107,8 @@
         }
     }
 
-    /// The budget of `destination`. Destinations come and go with replaced vms, so a new one
-    /// drops those that were last retried long ago.
+    /// Returns the budget of `destination`. Destinations come and go with replaced VMs, so adding
+    /// one drops the budgets that have not been used for `IDLE_TTL`.
     pub fn get(&mut self, destination: &str, now: Instant) -> &mut RetryBudget {
         if !self.budgets.contains_key(destination) {
             self.budgets
--- a/crates/lilaccrank/src/rules.rs
+++ b/crates/lilaccrank/src/rules.rs
@@ -1,4 +1,4 @@
-//! Ordered rules: the first one that matches a request decides it.
+//! Ordered routing rules, of which the first one that matches a request applies.
 
 pub mod check;
 pub mod condition;
--- a/crates/lilaccrank/src/store.rs
+++ b/crates/lilaccrank/src/store.rs
@@ -1,4 +1,4 @@
-//! The store port: the platform's object API with versions, conditional updates and watches.
+//! The interface to the platform's object store, with versions, conditional writes and watches.
 
 use std::future::Future;
 use std::time::Duration;
@@ -11,25 +11,25 @@
 /// Result of a store call.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Largest value the store takes, in bytes.
+/// Maximum size of a value, in bytes.
 pub const VALUE_LIMIT: usize = 1 << 20;
 
-/// Why a store call failed.
+/// Reason for which a store call failed.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum Error {
     /// The condition did not hold; the write had no effect.
     #[error("the object is at version {current:?}, not at the expected one")]
     Conflict {
-        /// Version found, `None` if the object does not exist.
+        /// Current version, `None` if the object does not exist.
         current: Option<Version>,
     },
-    /// The store asked for fewer calls; the call had no effect.
+    /// The store rejected the call to limit its load; the call had no effect.
     #[error("the store takes no more calls now, try again in {retry_after:?}")]
     Throttled {
-        /// When to try again.
+        /// Time after which the call may be repeated.
         retry_after: Duration,
     },
-    /// The value is over [`VALUE_LIMIT`].
+    /// The value is larger than [`VALUE_LIMIT`].
     #[error("a value of {size} bytes is over the store's limit of {VALUE_LIMIT}")]
     TooLarge {
         /// Size of the value in bytes.
@@ -38,17 +38,17 @@
     /// The store could not be reached; the call had no effect.
     #[error("the store can't be reached")]
     Unavailable,
-    /// No answer came; a write may have taken effect.
+    /// The store did not answer; a write may have taken effect.
     #[error("the store did not answer, a write may have taken effect")]
     Unknown,
 }
 
-/// Condition on a write.
+/// Precondition of a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Expect {
     /// The object does not exist.
     Absent,
-    /// Whatever is there.
+    /// No precondition.
     Any,
     /// The object is at this version.
     Version(Version),
@@ -57,15 +57,15 @@
 /// A value and its version.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Versioned {
-    /// The object's content.
+    /// Content of the object.
     pub value: Bytes,
-    /// The object's version.
+    /// Version of the object.
     pub version: Version,
 }
 
-/// The platform's store.
+/// Client of the platform's object store.
 pub trait Store: Clone + 'static {
-    /// Reads an object; `None` if it does not exist.
+    /// Reads an object; returns `None` if it does not exist.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Versioned>>>;
 
     /// Writes an object if `expect` holds and returns its new version.
@@ -75,8 +75,8 @@
     /// Deletes an object if `expect` holds.
     fn delete(&self, key: &str, expect: Expect) -> impl Future<Output = Result<()>>;
 
-    /// Waits until the object's version differs from `seen`, for at most `wait`; returns the
-    /// object as it then is. `None` if it does not exist.
+    /// Waits for at most `wait` until the version of the object differs from `seen`, and returns
+    /// the current object; `None` if it does not exist.
     fn watch(
         &self,
         key: &str,
--- a/crates/lilaccrank/src/stream_progress.rs
+++ b/crates/lilaccrank/src/stream_progress.rs
@@ -1,27 +1,27 @@
-//! Progress of a streamed answer, and whether it will be whole by its deadline.
+//! Tracks the progress of a streamed answer and predicts if it will miss its deadline.
 //!
-//! A target is chosen before the length of the answer is known. Short answers finish in time on any
-//! target; one that grows to many times the mean does not on a slow target. Left there, it would hold a
-//! slot up to its deadline and be lost with all that was generated. The projection made here tells while
-//! another target can still finish it.
+//! A target is chosen before the length of the answer is known. An answer many times longer than
+//! average can miss its deadline on a slow target. Left there, it would hold a slot until the
+//! deadline and all generated tokens would be lost. The prediction shows this while another
+//! target can still finish the answer.
 
 use std::time::{Duration, Instant};
 
-/// Time between two projections of a running answer.
+/// Interval between two predictions for a running answer.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// One answer at one target.
+/// Progress of one answer at one target.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamProgress {
     deadline: Option<Instant>,
-    /// Tokens from earlier targets.
+    /// Tokens that earlier targets generated.
     earlier_tokens: u32,
     first_token_at: Option<Instant>,
     tokens: u32,
 }
 
 impl StreamProgress {
-    /// An answer that starts behind `earlier_tokens` from other targets.
+    /// Starts tracking an answer that continues after `earlier_tokens` from other targets.
     #[must_use]
     pub fn new(earlier_tokens: u32, deadline: Option<Instant>) -> Self {
         Self {
@@ -32,19 +32,20 @@
         }
     }
 
-    /// Counts tokens that arrived.
+    /// Records received tokens.
     pub fn record_tokens(&mut self, tokens: u32, now: Instant) {
         self.first_token_at.get_or_insert(now);
         self.tokens = self.tokens.saturating_add(tokens);
     }
 
-    /// Tokens of the answer so far, from all targets.
+    /// Returns the number of tokens of the answer so far, from all targets.
     #[must_use]
     pub fn total_tokens(&self) -> u32 {
         self.earlier_tokens.saturating_add(self.tokens)
     }
 
-    /// Expected time to the end of the answer at its pace so far, if that is later than its deadline.
+    /// Returns the expected remaining time at the token rate so far if the answer would miss its
+    /// deadline, otherwise `None`.
     #[must_use]
     pub fn remaining_time_if_late(&self, now: Instant) -> Option<Duration> {
         let (deadline, first_token_at) = (self.deadline?, self.first_token_at?);
@@ -58,10 +59,10 @@
     }
 }
 
-/// Tokens still expected of an answer that has `tokens`: as many again.
+/// Returns the expected number of further tokens of an answer that has `tokens`: as many again.
 ///
-/// Lengths of answers are heavy-tailed. The longer an answer has become, the more is still to come, and
-/// the mean over all answers no longer predicts it.
+/// Answer lengths are heavy-tailed: the longer an answer already is, the more tokens are to be
+/// expected, so the mean over all answers is no predictor.
 #[must_use]
 pub fn expected_remaining_tokens(tokens: u32) -> u32 {
     tokens
--- a/crates/lilaccrank/src/target_instance.rs
+++ b/crates/lilaccrank/src/target_instance.rs
@@ -1,9 +1,9 @@
-//! One life of a target.
+//! Identifies an instance of a target by name and start time.
 //!
-//! A target may start again under the name that it had. Nothing that is known of its earlier life
-//! holds for the new one: its slots are free, its cache is empty, its speed and errors are still to be
-//! seen, and connections to it are dead. Whatever is known of a target is therefore kept by this
-//! type, so that the new life begins with nothing.
+//! A target may restart under the same name. Nothing known about the earlier instance holds for
+//! the new one: its slots are free, its cache is empty, its speed and error rate are unknown, and
+//! connections to it are closed. State about targets is therefore keyed by this type, so that a
+//! new instance starts without any.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -12,25 +12,25 @@
 use crate::document::Target;
 use crate::ids::{StartTimeMs, TargetId};
 
-/// Stands for a life in messages between daemons, which tell each other of some twenty targets: two of
-/// these have the same one in one of 20 million fleets.
+/// Digest that stands for an instance in messages between daemons. Daemons exchange data about
+/// some twenty targets; the probability that two of these share a digest is 1 in 20 million.
 pub type InstanceDigest = u32;
 
-/// A target from its start to its end.
+/// An instance of a target, from its start to its end.
 #[derive(
     Clone, Debug, Default, Deserialize, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 #[display("{id}, born {started_ms}")]
 pub struct TargetInstance {
-    /// Its name, which a later life may have too.
+    /// Name of the target, which later instances may share.
     pub id: TargetId,
-    /// When it started.
+    /// Start time in milliseconds since the Unix epoch, 0 if unknown.
     #[serde(rename = "born")]
     pub started_ms: StartTimeMs,
 }
 
 impl TargetInstance {
-    /// The life of a target as it is listed.
+    /// Returns the instance that a target entry describes.
     #[must_use]
     pub fn of(target: &Target) -> Self {
         Self {
@@ -39,14 +39,14 @@
         }
     }
 
-    /// The number that stands for it.
+    /// Returns the digest that stands for the instance in messages.
     #[must_use]
     pub fn digest(&self) -> InstanceDigest {
         xxh3::xxh3_64_with_seed(self.id.as_bytes(), self.started_ms) as InstanceDigest
     }
 }
 
-/// A target of which nobody says when it started.
+/// Creates an instance with an unknown start time.
 impl From<&str> for TargetInstance {
     fn from(id: &str) -> Self {
         Self {
--- a/crates/lilaccrank/src/timeline.rs
+++ b/crates/lilaccrank/src/timeline.rs
@@ -1,4 +1,4 @@
-//! The time line of one daemon: a bounded ring of typed events, and the merge of many.
+//! The timeline of a daemon: a bounded ring buffer of typed events, and the merge of several.
 
 pub mod event;
 pub mod merge;
@@ -16,7 +16,7 @@
 pub use merge::merge;
 pub use stamp::Stamp;
 
-/// Events of one daemon; clones share one ring.
+/// Timeline of one daemon; clones share one ring buffer.
 pub struct Timeline<C> {
     clock: C,
     inner: Rc<RefCell<Inner>>,
@@ -30,7 +30,7 @@
 }
 
 impl<C: Clock> Timeline<C> {
-    /// A time line of the daemon on `vm` that keeps the last `limit` events.
+    /// Creates a timeline of the daemon on `vm` that keeps the last `limit` events.
     #[must_use]
     pub fn new(clock: C, vm: VmId, limit: usize) -> Self {
         let inner = Inner {
@@ -45,19 +45,19 @@
         }
     }
 
-    /// Events that the ring has lost to newer ones.
+    /// Returns the number of events that newer ones have displaced.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.inner.borrow().dropped
     }
 
-    /// Takes in the stamp of a message, so that whatever follows here is ordered after it.
+    /// Merges the stamp of a received message, so that later events are ordered after it.
     pub fn observe(&self, remote: &Stamp) {
         let wall_ms = self.wall_ms();
         self.inner.borrow_mut().last.observe(remote, wall_ms);
     }
 
-    /// The events that match `query`, the oldest first.
+    /// Returns the events that match `query`, the oldest first.
     #[must_use]
     pub fn query(&self, query: &Query) -> Vec<Event> {
         let inner = self.inner.borrow();
@@ -65,7 +65,7 @@
         matching.cloned().collect()
     }
 
-    /// Adds an event and returns its stamp.
+    /// Records an event and returns its stamp.
     pub fn record(&self, kind: EventKind, subject: Subject) -> Stamp {
         let stamp = self.stamp();
         let mut inner = self.inner.borrow_mut();
@@ -85,7 +85,7 @@
         stamp
     }
 
-    /// A new stamp, for a message to another daemon.
+    /// Returns a new stamp for a message to another daemon.
     #[must_use]
     pub fn stamp(&self) -> Stamp {
         let wall_ms = self.wall_ms();
