--- a/crates/lilaccrank/src/orders.rs
+++ b/crates/lilaccrank/src/orders.rs
@@ -19,7 +19,7 @@
 use crate::clock::{self, Clock};
 use crate::document::Fencing;
 use crate::ids::{ModelId, TargetId};
-use crate::lease::{self, Fence, Guard, Guards};
+use crate::lease::{self, Fence, Guard, GuardSource};
 
 /// Result of issuing an order.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
@@ -161,7 +161,7 @@
     blocked_until: Mutex<Option<Instant>>,
 }
 
-impl<C: Clock, G: Guards, T: Targets> Orders<C, G, T> {
+impl<C: Clock, G: GuardSource, T: Targets> Orders<C, G, T> {
     /// Creates an issuer of orders to `targets` under the lease that `guards` checks.
     pub fn new(cfg: Settings, clock: C, guards: G, targets: T) -> Self {
         Self {
@@ -263,7 +263,7 @@
     }
 
     fn remaining_wait(&self, guard: &Guard) -> Duration {
-        let safe_from = guard.earlier_ended + self.cfg.in_flight;
+        let safe_from = guard.predecessor_expired_at + self.cfg.in_flight;
         safe_from.saturating_duration_since(self.clock.now())
     }
 }
--- a/crates/lilaccrank/tests/suite/orders.rs
+++ b/crates/lilaccrank/tests/suite/orders.rs
@@ -9,7 +9,7 @@
 use lilaccrank::clock::Clock;
 use lilaccrank::document::Fencing;
 use lilaccrank::ids::TargetId;
-use lilaccrank::lease::{Error, Guard, Guards, Result};
+use lilaccrank::lease::{Error, Guard, GuardSource, Result};
 use lilaccrank::orders::{self, Command, Order, OrderTarget, Orders, Role, Settings, Targets};
 use lilaccrank::paused_clock::PausedClock;
 
@@ -58,9 +58,9 @@
     guard: Guard,
 }
 
-impl Guards for FakeLease {
+impl GuardSource for FakeLease {
     fn guard(&self) -> Result<Guard> {
-        if self.clock.now() >= self.guard.until {
+        if self.clock.now() >= self.guard.expires_at {
             return Err(Error::NotHeld("orders".to_owned()));
         }
         Ok(Guard {
@@ -108,16 +108,21 @@
         self.clock.now() - Duration::from_secs(60)
     }
 
-    fn holder(&self, fence: u64, until: Instant, earlier_ended: Instant) -> TestOrders {
+    fn holder(
+        &self,
+        fence: u64,
+        expires_at: Instant,
+        predecessor_expired_at: Instant,
+    ) -> TestOrders {
         let shared_fence = Rc::new(Cell::new(fence));
         self.fence.replace(Rc::clone(&shared_fence));
         let lease = FakeLease {
             clock: self.clock.clone(),
             fence: shared_fence,
             guard: Guard {
-                earlier_ended,
+                predecessor_expired_at,
                 fence,
-                until,
+                expires_at,
             },
         };
         let cfg = Settings::default();
