--- a/crates/lilaccrank/tests/suite.rs
+++ b/crates/lilaccrank/tests/suite.rs
@@ -1,4 +1,4 @@
-//! Tests of the library, in one crate; a folder beside this file holds them by subject.
+//! Integration tests of the library, one module per subject, linked as a single test binary.
 
 #[path = "suite/advisories.rs"]
 mod advisories;
--- a/crates/lilaccrank/tests/suite/attempts.rs
+++ b/crates/lilaccrank/tests/suite/attempts.rs
@@ -1,4 +1,4 @@
-//! When a request that failed at a target is sent to another one.
+//! Tests of the decision to retry a failed request at another target.
 
 use lilaccrank::attempts::{Attempts, Failure, RetryPolicy};
 
@@ -18,8 +18,7 @@
     max_runs: 2,
 };
 
-/// What a request allows, how its sends fail one after the other, and whether each may be
-/// followed by another.
+/// A retry policy and a sequence of failures, each with the expected answer to "may retry?".
 macro_rules! retry_cases {
     ($name:ident, $policy:expr, $([$failure:ident, $may_retry:literal]),+) => {
         #[test]
@@ -30,8 +29,8 @@
     };
 }
 
-// A doubled job card sends two trucks up the same hill: what may have run is not sent again, while
-// a target that says it did not run it costs nothing but the way.
+// A request that is not idempotent must not take effect twice: it is not retried once a target
+// may have run it, but it is after a target reported that it did not.
 retry_cases!(non_idempotent_may_have_run, NON_IDEMPOTENT, [Failed, false]);
 retry_cases!(
     non_idempotent_interrupted,
@@ -64,7 +63,7 @@
     [BrokenOff, true],
     [BrokenOff, false]
 );
-// Targets that all refuse are full; asking each of them in turn would keep the caller waiting.
+// When several targets refuse, the pool is full; trying all of them would only delay the caller.
 retry_cases!(
     refused_by_all,
     IDEMPOTENT,
@@ -72,7 +71,7 @@
     [NotRun, true],
     [NotRun, false]
 );
-// Sends that did not run leave the runs that the request may have.
+// Sends that were not executed don't count against the maximum number of runs.
 retry_cases!(
     refused_then_may_have_run,
     IDEMPOTENT,
@@ -81,8 +80,8 @@
     [Failed, false]
 );
 
-// After a send that may have run, a refusal by the next target must not make the caller believe
-// that nothing ran.
+// After a target may have run the request, a refusal by the next one must not make the caller
+// believe that it never ran.
 #[test]
 fn an_earlier_run_is_remembered() {
     let mut attempts = Attempts::new(IDEMPOTENT);
@@ -93,7 +92,7 @@
     assert!(attempts.may_have_run());
 }
 
-// A request that no target had begun did not run, however often it was sent.
+// A request that no target started counts as not run, however often it was sent.
 #[test]
 fn unexecuted_sends_are_not_runs() {
     let mut attempts = Attempts::new(IDEMPOTENT);
--- a/crates/lilaccrank/tests/suite/cells.rs
+++ b/crates/lilaccrank/tests/suite/cells.rs
@@ -1,4 +1,4 @@
-//! How fleets of different sizes are divided, and how little moves when a daemon goes.
+//! Tests of the division of fleets into cells and of its stability when daemons are removed.
 
 use indexmap::IndexSet;
 use lilaccrank::cells::Cell;
@@ -17,7 +17,7 @@
     (0..count).map(target).collect()
 }
 
-/// Names of the targets that a cell keeps.
+/// Ids of the targets that a cell uses.
 fn retained_ids(cell: &Cell, all: &[Target]) -> IndexSet<String> {
     let mut retained_ids = all.to_vec();
     cell.retain_targets(&mut retained_ids);
@@ -28,7 +28,7 @@
     vms.iter().map(|me| Cell::new(vms, me)).collect()
 }
 
-/// A fleet of daemons on targets: fewest and most daemons in a cell, fewest and most targets.
+/// A number of daemons and targets, and the expected range of daemons and targets per cell.
 macro_rules! cell_sizes {
     ($name:ident, $vms:literal on $targets:literal, $daemons:expr, $retained_ids:expr) => {
         #[test]
@@ -52,14 +52,14 @@
 cell_sizes!(two_cells, 17 on 18, 8..=9, 9..=9);
 cell_sizes!(cells_of_a_grown_fleet, 75 on 90, 9..=10, 11..=12);
 cell_sizes!(cells_of_a_large_fleet, 700 on 6_700, 10..=11, 104..=105);
-// Three instances of a plain service serve a whole fleet: divided, each cell would have none.
+// A service with three instances serves the whole fleet; divided, most cells would have none.
 cell_sizes!(few_targets_are_shared_by_all_cells, 75 on 3, 9..=10, 3..=3);
 cell_sizes!(a_pool_is_divided_less, 75 on 13, 9..=10, 6..=7);
 cell_sizes!(no_targets, 75 on 0, 9..=10, 0..=0);
 
 quickcheck! {
-    // A target that is in nobody's cell gets no work; daemons of a cell that saw other targets
-    // than their mates would not tell each other of what they have there.
+    // A target that no cell uses would get no requests. Daemons of one cell that disagreed on its
+    // targets would not exchange their load on them.
     fn every_target_is_in_one_cell(daemons: u8, count: u8) -> bool {
         let vms = vms(usize::from(daemons.max(1)));
         let all = targets(usize::from(count));
@@ -76,8 +76,8 @@
     }
 }
 
-// A daemon dies. All others learn it within seconds of each other and divide the fleet anew: if
-// most of them got other mates and targets, what they knew of loads and speeds would be lost.
+// When a daemon dies, the others divide the fleet anew within seconds of each other. If most of
+// them got other peers and targets, they would lose what they know about loads and speeds.
 #[test]
 fn removed_daemon_moves_few_assignments() {
     let all = targets(90);
@@ -105,9 +105,9 @@
     );
 }
 
-// Many daemons are killed at once, and two cells become one. Whatever cell a daemon is in then, it
-// holds all targets of the one that it had, or it is another one altogether; a third way would
-// leave all daemons with targets that half of their mates know nothing of.
+// When many daemons die, two cells are merged. The new cell of a daemon has either all targets of
+// its old cell or none of them; otherwise half of the daemons in each cell would know nothing
+// about some of its targets.
 #[test]
 fn cells_merge_whole() {
     let all = targets(90);
--- a/crates/lilaccrank/tests/suite/circuit_breaker.rs
+++ b/crates/lilaccrank/tests/suite/circuit_breaker.rs
@@ -1,4 +1,4 @@
-//! When a circuit opens, and how it is tried again.
+//! Tests of when a circuit breaker opens and how it lets trial calls through.
 
 use std::time::Duration;
 
@@ -6,7 +6,9 @@
 use lilaccrank::paused_clock::PausedClock;
 
 fn permit(circuit: &CircuitBreaker<PausedClock>) -> Permit<PausedClock> {
-    circuit.permit().expect("lets calls through")
+    circuit
+        .permit()
+        .expect("the circuit breaker permits a call")
 }
 
 fn open_circuit(clock: &PausedClock) -> CircuitBreaker<PausedClock> {
@@ -42,8 +44,8 @@
     assert!(circuit.permit().is_ok());
 }
 
-// A destination comes back weak. If all who wait for it were let through at the first moment, it
-// would fail again under their calls, and so on.
+// A destination that has just recovered may be overloaded again if all waiting callers are let
+// through at once.
 #[test]
 fn one_trial_at_a_time() {
     let clock = PausedClock::new();
@@ -56,8 +58,8 @@
     assert!(!permit(&circuit).is_trial());
 }
 
-// The caller that makes the trial goes away before the answer. The circuit must not wait for
-// that outcome for ever.
+// The caller of the trial call is cancelled before it reports an outcome. The circuit breaker
+// must not stay half open forever.
 #[test]
 fn trial_without_outcome_is_repeated() {
     let clock = PausedClock::new();
--- a/crates/lilaccrank/tests/suite/cluster.rs
+++ b/crates/lilaccrank/tests/suite/cluster.rs
@@ -1,4 +1,4 @@
-//! Memberships of one data centre on a wire in memory and a paused clock.
+//! A cluster of membership daemons on an in-memory network and a paused clock.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 use crate::fake_network::FakeNetwork;
 use crate::process::{FakeProcess, ProcessState};
 
-/// Time advances in steps of this length.
+/// Step by which the clock is advanced.
 const STEP: Duration = Duration::from_millis(10);
 
 pub struct Cluster {
@@ -39,7 +39,7 @@
 }
 
 impl Cluster {
-    /// `count` daemons that have all found each other through the first.
+    /// Starts `count` daemons with the first as seed and waits until all know each other.
     pub fn new(count: usize) -> Self {
         let mut cluster = Self {
             clock: PausedClock::new(),
@@ -94,7 +94,8 @@
         self.advance_until(ms, |_| false);
     }
 
-    /// Advances until `done`; returns the milliseconds that took, `None` if `limit_ms` passed.
+    /// Advances the clock until `done` holds and returns the elapsed milliseconds, or `None` after
+    /// `limit_ms`.
     pub fn advance_until(&mut self, limit_ms: u64, done: impl Fn(&Self) -> bool) -> Option<u64> {
         let begun = self.clock.elapsed();
         loop {
@@ -123,7 +124,7 @@
         self.daemons[index].process.set_state(ProcessState::Running);
     }
 
-    /// Names of the members that daemon `index` would give duties to.
+    /// VMs of the members that may own duties, as daemon `index` sees them.
     pub fn live(&self, index: usize) -> Vec<String> {
         let snapshot = self.daemons[index].membership.live();
         snapshot.members.iter().map(|m| m.vm.clone()).collect()
@@ -134,7 +135,7 @@
         all.into_iter().find(|member| member.vm == vm)
     }
 
-    /// Whether all daemons but `except` agree on this number of live members.
+    /// Returns `true` if all daemons except `except` see this number of live members.
     pub fn all_see(&self, live: usize, except: Option<usize>) -> bool {
         (0..self.daemons.len())
             .filter(|index| Some(*index) != except)
--- a/crates/lilaccrank/tests/suite/error_kind.rs
+++ b/crates/lilaccrank/tests/suite/error_kind.rs
@@ -1,8 +1,8 @@
-//! The table from kind to answer.
+//! Tests of the responses to each kind of error.
 
 use lilaccrank::error_kind::{ErrorKind, Executed};
 
-/// A kind and the status its callers see.
+/// An error kind, its HTTP status, and whether a target executed the request.
 macro_rules! status {
     ($name:ident, $kind:ident, $status:literal, $executed:ident) => {
         #[test]
--- a/crates/lilaccrank/tests/suite/fake_network.rs
+++ b/crates/lilaccrank/tests/suite/fake_network.rs
@@ -1,4 +1,4 @@
-//! Datagrams in memory: lossy, cut in two, counted.
+//! An in-memory datagram network with packet loss, partitions and traffic counters.
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
@@ -12,9 +12,9 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Datagrams that a socket holds for a process that does not read.
+/// Capacity of a socket's receive buffer, in datagrams.
 const INBOX_LIMIT: usize = 256;
-/// Bytes of the IP and UDP headers.
+/// Size of the IP and UDP headers, in bytes.
 const HEADER_BYTES: usize = 28;
 
 #[derive(Clone)]
@@ -62,7 +62,7 @@
         self.0.borrow_mut().inboxes.swap_remove(&address);
     }
 
-    /// Cuts these addresses off from all others.
+    /// Partitions these addresses from all others.
     pub fn isolate(&self, isolated: impl IntoIterator<Item = SocketAddr>) {
         self.0.borrow_mut().isolated = isolated.into_iter().collect();
     }
@@ -71,12 +71,12 @@
         self.0.borrow_mut().loss = loss;
     }
 
-    /// Bytes sent by all since the last call, headers included.
+    /// Returns the bytes sent on all sockets since the last call, including headers.
     pub fn take_sent_bytes(&self) -> usize {
         std::mem::take(&mut self.0.borrow_mut().sent_bytes)
     }
 
-    /// Content of the largest datagram so far, in bytes.
+    /// Returns the payload size of the largest datagram so far, in bytes.
     pub fn largest(&self) -> usize {
         self.0.borrow().largest
     }
--- a/crates/lilaccrank/tests/suite/fake_store.rs
+++ b/crates/lilaccrank/tests/suite/fake_store.rs
@@ -1,4 +1,4 @@
-//! A store in memory that can be away, lose answers, or delay writes.
+//! An in-memory store that can be unavailable, lose answers or delay writes.
 
 use std::cell::{Cell, RefCell};
 use std::future;
@@ -20,7 +20,7 @@
     revision: Rc<Cell<Version>>,
 }
 
-/// A write still under way.
+/// A write that has not taken effect yet.
 struct DelayedWrite {
     at: Duration,
     expect: Expect,
@@ -28,20 +28,20 @@
     value: Bytes,
 }
 
-/// What goes wrong; nothing by default.
+/// Faults to inject, none by default, and a record of the calls.
 #[derive(Default)]
 pub struct Faults {
-    /// Calls fail without effect.
+    /// Calls fail with [`Error::Unavailable`] and have no effect.
     pub unavailable: Cell<bool>,
-    /// Times of all calls since the clock started.
+    /// Times of all calls, measured from the start of the clock.
     pub calls: RefCell<Vec<Duration>>,
-    /// The next write takes effect only after this time; its answer is lost.
+    /// The next write takes effect after this delay, and its answer is lost.
     pub delay_write: Cell<Option<Duration>>,
-    /// The answer to the next write is lost after it took effect.
+    /// The next write takes effect, but its answer is lost.
     pub lose_answer: Cell<bool>,
     /// Calls are never answered and have no effect.
     pub unresponsive: Cell<bool>,
-    /// The answer to the next write comes only after this time.
+    /// The answer to the next write arrives after this delay.
     pub delay_answer: Cell<Option<Duration>>,
 }
 
@@ -68,7 +68,7 @@
             expect, key, value, ..
         } in due
         {
-            // Nobody waits for its answer any more.
+            // The caller has already got `Error::Unknown`.
             let _ = self.write(&key, value, expect);
         }
         if self.faults.unresponsive.get() {
--- a/crates/lilaccrank/tests/suite/guarded_store.rs
+++ b/crates/lilaccrank/tests/suite/guarded_store.rs
@@ -1,4 +1,4 @@
-//! Many clients of a store that goes away and comes back.
+//! Tests of many clients during an outage of the store and after it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 const STEP: Duration = Duration::from_millis(10);
 const KEY: &str = "rules";
 
-/// What the store saw, and when the last client got through.
+/// Calls that the store received, and the time until all clients had recovered.
 #[derive(Debug)]
 struct OutageReport {
     peak_calls_per_100_ms: usize,
@@ -28,7 +28,7 @@
     recovered_after: Duration,
 }
 
-/// Reads once a second, and after a failure every 100 ms.
+/// Reads once per second, or every 100 ms after a failure.
 async fn poll<S: Store>(store: S, clock: PausedClock, last_read: Rc<Cell<Duration>>) {
     loop {
         let wait = match store.get(KEY).await {
@@ -57,7 +57,7 @@
         );
         pool.spawner().spawn_local(work).expect("the pool runs");
     }
-    // All in step, as daemons are that saw one event or were started together.
+    // All clients poll in step, like daemons that reacted to one event or started together.
     advance(&mut pool, &clock, Duration::from_secs(5));
     store.faults.unavailable.set(true);
     store.faults.calls.borrow_mut().clear();
@@ -95,9 +95,9 @@
     }
 }
 
-// The store is away for a minute and 64 daemons go on asking. Unguarded, they ask ten times a
-// second each and all meet the store in the first tenth of a second of its return, which can
-// throw it down again. Guarded, each tries now and then, at its own time.
+// The store is unavailable for a minute while 64 clients keep polling. Unguarded, each calls ten
+// times per second, and all calls reach the recovered store within 100 ms, which can overload it
+// again. Guarded clients call rarely and not in step.
 #[test]
 fn recovering_store_is_not_overloaded() {
     let unguarded = simulate_outage(|store, _| store);
@@ -113,8 +113,8 @@
     GuardedStore::new(Settings::default(), store.clone(), clock.clone())
 }
 
-// The answer to a write is lost after it took effect. Sent again by the wrapper, the write would
-// conflict with itself and its caller would take its own publication for another's.
+// The answer to a write is lost after the write took effect. If the wrapper repeated the write, it
+// would conflict with itself and the caller would take its own publication for another's.
 #[test]
 fn write_without_answer_is_not_repeated() {
     let clock = PausedClock::new();
@@ -126,9 +126,9 @@
     assert_eq!(store.faults.calls.borrow().len(), 1);
 }
 
-// The store goes silent: connections stand but no answer comes. Each call must end in its time,
-// and after a few the rest must fail at once as "no effect", so that callers can refuse what
-// needs the store instead of waiting for it.
+// The store accepts connections but does not answer. Each call must time out. After a few of them
+// further calls must fail at once and without effect, so that callers can refuse requests that
+// need the store instead of waiting for it.
 #[test]
 fn silent_store_opens_the_circuit() {
     let clock = PausedClock::new();
@@ -150,8 +150,8 @@
     assert_eq!(store.faults.calls.borrow().len(), 4);
 }
 
-// The call that tries a half-open circuit is a watch of an object that never changes. For as long
-// as it waits nothing else is let through, though the store is there again.
+// The trial call is a watch on an object that never changes. While it waits, all other calls are
+// rejected although the store has recovered, so the wait must be short.
 #[test]
 fn watch_as_trial_keeps_the_circuit_half_open_briefly() {
     let clock = PausedClock::new();
--- a/crates/lilaccrank/tests/suite/orders.rs
+++ b/crates/lilaccrank/tests/suite/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of two holders that reach a target late.
+//! Tests of orders that reach a target late, from one or two lease holders.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 
 type TestOrders = Orders<PausedClock, FakeLease, FakeTargets>;
 
-/// A wire to one target, which notes what it carried out.
+/// Connection to one fake target, which records the orders that it executed.
 #[derive(Clone)]
 struct FakeTargets {
     executed: Rc<RefCell<Vec<Order>>>,
@@ -37,7 +37,7 @@
 }
 
 impl Targets for FakeTargets {
-    /// What is on the wire arrives also when the sender has given up.
+    /// An order in flight arrives even if the sender has given up waiting.
     async fn issue(&self, _target: &TargetId, order: &Order) -> orders::Result<()> {
         let (targets, order) = (self.clone(), order.clone());
         let delay = self.clock.sleep(self.delay.get());
@@ -51,7 +51,7 @@
     }
 }
 
-/// A lease as one holder sees it.
+/// A lease from the point of view of one holder.
 struct FakeLease {
     clock: PausedClock,
     fence: Rc<Cell<u64>>,
@@ -72,7 +72,7 @@
 
 struct Fixture {
     clock: PausedClock,
-    /// Number of the holder made last.
+    /// Fencing token of the holder that was created last.
     fence: RefCell<Rc<Cell<u64>>>,
     outcomes: Rc<RefCell<Vec<orders::Result<()>>>>,
     pool: LocalPool,
@@ -129,7 +129,7 @@
         Orders::new(cfg, self.clock.clone(), lease, self.targets.clone())
     }
 
-    /// Gives an order that is on the wire for so long.
+    /// Issues an order that takes the given time to arrive and to be answered.
     fn issue(&mut self, holder: impl Into<Rc<TestOrders>>, role: Role, time_in_flight: Duration) {
         self.targets.delay.set(time_in_flight);
         let holder: Rc<TestOrders> = holder.into();
@@ -163,9 +163,9 @@
     }
 }
 
-// The earlier holder's order "prefill" is sent in its lease and stays on the wire for 4.9 s; the
-// later holder orders "decode" a second after the first. The target must end as "decode": one
-// that checks the number refuses the late order; for one that ignores it the later holder waits.
+// The first holder's order "prefill" is in flight for 4.9 s; the second holder orders "decode" one
+// second later. The target must end as "decode": a target that checks fencing tokens refuses the
+// late order; for one that ignores them the second holder waits.
 macro_rules! late_order {
     ($($name:ident: $fencing:expr, $roles:expr;)*) => {$(
         #[test]
@@ -188,8 +188,8 @@
     late_order_to_a_target_that_ignores: Fencing::Ignored, [Role::Prefill, Role::Decode];
 }
 
-// A holder waits for earlier orders to arrive and loses its lease meanwhile. If it did not ask
-// again after the wait, it would act as if it still held it.
+// A holder loses its lease while it waits for orders of its predecessor to arrive. It must check
+// the lease again after the wait.
 #[test]
 fn holder_that_lost_its_lease_in_the_wait_gives_no_order() {
     let mut fixture = Fixture::new(Fencing::Ignored);
@@ -201,10 +201,10 @@
     assert_eq!(*fixture.outcomes.borrow(), [Err(not_held)]);
 }
 
-// No answer to "prefill" comes in time, and the operator asks the same holder for "decode" while
-// the first order is still on the wire. Both carry one number, and no target can tell which is
-// the later. Unless the second waits until the first, which is sent once more, can't arrive any
-// more, the target ends as "prefill", though the holder was told that "decode" is done.
+// "prefill" is not answered in time, and the same holder issues "decode" while the first order is
+// still in flight. Both have the same fencing token, so a target can't tell which one is newer.
+// Unless the second waits until the first, which is sent once more, can no longer arrive, the
+// target ends as "prefill" although "decode" was reported as done.
 #[test]
 fn order_without_an_answer_is_not_overtaken() {
     for fencing in [Fencing::Checked, Fencing::Ignored] {
@@ -228,8 +228,8 @@
     }
 }
 
-// A holder's order gets no answer; meanwhile the lease is with another and comes back. The order
-// must not be sent again under the new number, since the other may have given a later one.
+// An order is not answered, and the lease passes to another holder and back. The order must not be
+// repeated under the new fencing token, because the other holder may have issued a newer one.
 #[test]
 fn order_is_not_repeated_under_another_number() {
     let mut fixture = Fixture::new(Fencing::Checked);
--- a/crates/lilaccrank/tests/suite/process.rs
+++ b/crates/lilaccrank/tests/suite/process.rs
@@ -1,4 +1,4 @@
-//! A stand-in for an operating system's process.
+//! A fake operating system process that can be frozen and killed.
 
 use std::cell::{Cell, RefCell};
 use std::future::{self, Future};
@@ -12,7 +12,7 @@
     Running,
 }
 
-/// Stands for the operating system's process: a frozen one is not polled, a killed one dropped.
+/// Runs a future like a process: while frozen it is not polled, when killed it is dropped.
 #[derive(Clone)]
 pub struct FakeProcess {
     state: Rc<Cell<ProcessState>>,
--- a/crates/lilaccrank/tests/suite/rendezvous.rs
+++ b/crates/lilaccrank/tests/suite/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Ranking against a naive full sort, and how little moves when a member leaves.
+//! Tests of rendezvous hashing against a full sort, and of its stability when a member leaves.
 
 use indexmap::IndexSet;
 use lilaccrank::rendezvous;
--- a/crates/lilaccrank/tests/suite/retry_budget.rs
+++ b/crates/lilaccrank/tests/suite/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retries never exceed their share.
+//! Tests of the limits of retry budgets.
 
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 use quickcheck::quickcheck;
 
 quickcheck! {
-    // Each step is a call that fails after some time, with as many retries as are allowed.
+    // In each step a call fails after some time and is retried as often as the budget allows.
     fn retries_are_a_share_of_calls(gaps_ms: Vec<u8>) -> bool {
         let cfg = Settings::default();
         let mut budgets = RetryBudgets::new(cfg.clone());
@@ -30,8 +30,8 @@
     }
 }
 
-// One engine fails all its calls. If all shared one budget, calls to healthy ones would get no
-// retry any more.
+// One engine fails all calls. With a shared budget, calls to healthy engines could not be retried
+// any more.
 #[test]
 fn destinations_do_not_share_a_budget() {
     let now = Instant::now();
@@ -40,8 +40,8 @@
     assert!(budgets.get("healthy", now).try_retry(now));
 }
 
-// Members join, and each has a smaller part of what all of them may save up. One that had saved
-// more before doesn't keep it.
+// When members join, the part of the total capacity that each of them gets shrinks. Retries that a
+// member accumulated above its new capacity must be dropped.
 #[test]
 fn smaller_capacity_applies_at_once() {
     let now = Instant::now();
