--- a/crates/lilaccrank/src/guarded_store.rs
+++ b/crates/lilaccrank/src/guarded_store.rs
@@ -62,7 +62,7 @@
     store: S,
 }
 
-/// Decides whether a call may be retried after [`Error::Unknown`].
+/// Kind of a call, which decides whether it may be retried after [`Error::Unknown`].
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum CallKind {
     Read,
