--- a/crates/lilaccrank/tests/suite/orders.rs
+++ b/crates/lilaccrank/tests/suite/orders.rs
@@ -191,7 +191,7 @@
 // A holder loses its lease while it waits for orders of its predecessor to arrive. It must check
 // the lease again after the wait.
 #[test]
-fn holder_that_lost_its_lease_in_the_wait_gives_no_order() {
+fn holder_that_lost_its_lease_in_the_wait_issues_no_order() {
     let mut fixture = Fixture::new(Fencing::Ignored);
     let holder = fixture.holder(1, fixture.seconds_from_now(4), fixture.seconds_from_now(0));
     fixture.issue(holder, Role::Decode, Duration::ZERO);
--- a/crates/lilaccrank/tests/suite/rendezvous.rs
+++ b/crates/lilaccrank/tests/suite/rendezvous.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_leaving_member_moves_only_its_own_duties() {
+fn a_leaving_member_moves_only_its_own_keys() {
     let vms: Vec<_> = (0..100).map(|i| format!("vm-{i}")).collect();
     let mut moved = 0;
     for key in (0..10_000).map(|i| format!("duty-{i}")) {
