--- a/crates/lilaccrank/tests/suite/rendezvous.rs
+++ b/crates/lilaccrank/tests/suite/rendezvous.rs
@@ -53,6 +53,6 @@
     }
     assert!(
         (60..140).contains(&moved),
-        "{moved} of 10,000 duties moved, about 100 expected"
+        "{moved} of 10,000 keys moved, about 100 expected"
     );
 }
