--- a/crates/lilaccrank/src/dispatch/sharing/sample.rs
+++ b/crates/lilaccrank/src/dispatch/sharing/sample.rs
@@ -1,4 +1,4 @@
-//! What was seen of a target, in few bytes.
+//! Samples of target behaviour in a compact encoding.
 
 use std::time::Duration;
 
@@ -7,60 +7,63 @@
 
 use crate::target_instance::InstanceDigest;
 
-/// One thing that was seen of a target.
+/// One observation of a target.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(into = "Packed", try_from = "Packed")]
 pub struct Sample {
-    /// What was seen.
-    pub seen: Seen,
-    /// The target.
+    /// The observation.
+    pub observation: Observation,
+    /// Digest of the target.
     pub target: InstanceDigest,
 }
 
-/// What was seen of a target.
+/// Observed behaviour of a target.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Seen {
-    /// A whole answer.
+pub enum Observation {
+    /// A complete answer.
     Answered,
-    /// An answer that it failed, or would not run the request.
+    /// An error response or a rejection.
     Erred,
-    /// No whole answer.
+    /// No complete answer.
     Failed,
     /// A first token.
     FirstToken {
         /// Time since the request was sent.
         after: Duration,
-        /// Prompt tokens before it when it was sent, its own included.
-        before: u64,
+        /// Prefill tokens outstanding when the request was granted, including its own.
+        prefill_ahead: u64,
     },
-    /// Tokens that followed each other.
+    /// Consecutive tokens.
     Step {
-        /// Requests in the batch.
+        /// Number of requests in the batch.
         batch: u32,
         /// Time between two tokens.
         step: Duration,
     },
 }
 
-/// A sample as it travels: the target, which kind it is, a time in microseconds and a number. With the
-/// names of kinds and fields it would take three times the bytes.
+/// Wire format of a sample: target, kind, time in microseconds and a number. Names of kinds and
+/// fields would triple its size.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 struct Packed(InstanceDigest, u8, u32, u64);
 
-/// A kind of sample that this version does not know.
+/// Unknown kind of sample, from a newer version.
 #[derive(Debug, Display)]
-#[display("samples have no kind {_0}")]
+#[display("unknown sample kind {_0}")]
 struct UnknownKind(u8);
 
 impl From<Sample> for Packed {
     fn from(sample: Sample) -> Self {
         let micros = |time: Duration| u32::try_from(time.as_micros()).unwrap_or(u32::MAX);
-        let (kind, time, number) = match sample.seen {
-            Seen::Answered => (0, 0, 0),
-            Seen::Erred => (1, 0, 0),
-            Seen::Failed => (2, 0, 0),
-            Seen::FirstToken { after, before } => (3, micros(after), before),
-            Seen::Step { batch, step } => (4, micros(step), batch.into()),
+        let (kind, time, number) = match sample.observation {
+            Observation::Answered => (0, 0, 0),
+            Observation::Erred => (1, 0, 0),
+            Observation::Failed => (2, 0, 0),
+            Observation::FirstToken {
+                after,
+                prefill_ahead,
+            } => (3, micros(after), prefill_ahead),
+            Observation::Step { batch, step } => (4, micros(step), batch.into()),
         };
         Self(sample.target, kind, time, number)
     }
@@ -72,20 +75,23 @@
     fn try_from(packed: Packed) -> Result<Self, UnknownKind> {
         let Packed(target, kind, time, number) = packed;
         let time = Duration::from_micros(time.into());
-        let seen = match kind {
-            0 => Seen::Answered,
-            1 => Seen::Erred,
-            2 => Seen::Failed,
-            3 => Seen::FirstToken {
+        let observation = match kind {
+            0 => Observation::Answered,
+            1 => Observation::Erred,
+            2 => Observation::Failed,
+            3 => Observation::FirstToken {
                 after: time,
-                before: number,
+                prefill_ahead: number,
             },
-            4 => Seen::Step {
+            4 => Observation::Step {
                 batch: u32::try_from(number).unwrap_or(u32::MAX),
                 step: time,
             },
             kind => return Err(UnknownKind(kind)),
         };
-        Ok(Self { seen, target })
+        Ok(Self {
+            observation,
+            target,
+        })
     }
 }
--- a/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
@@ -97,7 +97,7 @@
 }
 
 pub fn deliver_digest(harness: &Harness, from: &str, digest: Digest) {
-    harness.dispatcher.take_digest(&from.to_owned(), digest);
+    harness.dispatcher.apply_digest(&from.to_owned(), digest);
 }
 
 /// An ask whose caller expects a first token.
--- a/crates/lilaccrank/tests/suite/rate_limit.rs
+++ b/crates/lilaccrank/tests/suite/rate_limit.rs
@@ -169,7 +169,7 @@
             {
                 daemon
                     .dispatcher
-                    .take_digest(&format!("vm-{from}"), digest.clone());
+                    .apply_digest(&format!("vm-{from}"), digest.clone());
             }
         }
     }
--- a/crates/lilaccrankd/src/request/spill.rs
+++ b/crates/lilaccrankd/src/request/spill.rs
@@ -1,7 +1,8 @@
-//! Sends a request that this data centre refuses to another one, if its rule says so.
+//! Spills a request that this data centre refuses to another one, if its rule allows it.
 //!
-//! The other data centre's daemon takes it as its own request, of the same caller and key. To
-//! this daemon it is like a target: one exchange, and only a refusal as not run allows another.
+//! The daemon in the other data centre handles it as its own request, with the same caller and key.
+//! This daemon treats the other one like a target: it sends the request once, and tries the next
+//! data centre only if the refusal says "not run".
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,15 +15,15 @@
 use rand::seq::IndexedRandom;
 use serde::Deserialize;
 
-use crate::callers::caller_request::{CallerRequest, DEADLINE, SPILLED};
+use crate::callers::caller_request::{CallerRequest, DEADLINE, SPILLED_FROM};
 use crate::callers::entry;
 use crate::callers::refusal::{REFUSAL, Refusal, Result};
 use crate::daemon::Daemon;
-use crate::request::run::Run;
+use crate::request::answer_buffer::AnswerBuffer;
 use crate::targets::call;
 use crate::targets::relay;
 
-/// Largest body of a refusal.
+/// Largest body of a refusal, in bytes.
 const REFUSAL_LIMIT: usize = 64 * 1024;
 
 #[derive(Deserialize)]
@@ -37,9 +38,10 @@
     ran: Executed,
 }
 
-/// Whether another data centre may do what this one refuses.
+/// Returns `true` if another data centre may be able to serve a request that was refused with
+/// `kind`.
 #[must_use]
-pub fn helps(kind: ErrorKind) -> bool {
+pub fn is_spillable(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::DeadlineUnmeetable | ErrorKind::NoTarget | ErrorKind::Overloaded
@@ -50,13 +52,13 @@
 ///
 /// # Errors
 ///
-/// The last refusal; `refused` if there was nobody to ask.
-pub async fn run(
+/// The last refusal, or `refused` if no data centre could be reached.
+pub async fn try_data_centres(
     daemon: &Daemon,
     caller: &CallerRequest,
     data_centres: &[String],
     deadline: Option<Instant>,
-    run: &Run,
+    buffer: &AnswerBuffer,
     mut refused: Refusal,
 ) -> Result<()> {
     for data_centre in data_centres {
@@ -64,8 +66,8 @@
         let Some(other) = addresses.and_then(|list| list.choose(&mut rand::rng())) else {
             continue;
         };
-        match try_one(daemon, caller, other.callers, deadline, run).await {
-            // Nobody there could be reached: what this data centre said still stands.
+        match try_data_centre(daemon, caller, other.callers, deadline, buffer).await {
+            // No daemon there could be reached, so the earlier refusal still holds.
             Err(refusal) if refusal.ran == Executed::No && refusal.retry_after.is_none() => {}
             Err(refusal) if refusal.ran == Executed::No => refused = refusal,
             other => return other,
@@ -74,12 +76,12 @@
     Err(refused)
 }
 
-async fn try_one(
+async fn try_data_centre(
     daemon: &Daemon,
     caller: &CallerRequest,
     address: SocketAddr,
     deadline: Option<Instant>,
-    run: &Run,
+    buffer: &AnswerBuffer,
 ) -> Result<()> {
     let bounds = daemon.bounds();
     let req = request(daemon, caller, deadline);
@@ -88,7 +90,7 @@
     if res.headers().contains_key(REFUSAL) {
         return Err(refusal(daemon, res).await);
     }
-    relay::copy(&daemon.client, res, connection, bounds, run).await
+    relay::copy(&daemon.client, res, connection, bounds, buffer).await
 }
 
 fn request(daemon: &Daemon, caller: &CallerRequest, deadline: Option<Instant>) -> Request<Body> {
@@ -101,7 +103,7 @@
     headers.remove(TRANSFER_ENCODING);
     headers.insert(HOST, HeaderValue::from_static("peer"));
     if let Ok(from) = HeaderValue::from_str(&daemon.cfg.data_centre) {
-        headers.insert(SPILLED, from);
+        headers.insert(SPILLED_FROM, from);
     }
     if let Some(at) = deadline {
         let left = at.saturating_duration_since(Instant::now());
@@ -128,11 +130,11 @@
             ran: error.ran,
             retry_after,
         },
-        None => unclear(status),
+        None => unexpected_status(status),
     }
 }
 
-fn unclear(status: StatusCode) -> Refusal {
+fn unexpected_status(status: StatusCode) -> Refusal {
     let message = format!("the other data centre answered with status {status}");
     Refusal::new(ErrorKind::TargetFailed, message)
 }
