--- a/crates/lilaccrank/src/dispatch/admission.rs
+++ b/crates/lilaccrank/src/dispatch/admission.rs
@@ -25,7 +25,7 @@
     pub(super) fn ask(&mut self, mut ask: Ask, now: Instant) -> Admission {
         ask.exclusions.truncate(EXCLUSIONS_LIMIT);
         self.tiers.record_request(ask.tier, ask.objective, now);
-        ask.prefix.truncate(prompt::MAX_BLOCKS);
+        ask.prefix.truncate(prompt::MAX_PREFIX_BLOCKS);
         let waiting = self
             .waiting
             .get(&ask.request)
--- a/crates/lilaccrank/src/dispatch/affinity.rs
+++ b/crates/lilaccrank/src/dispatch/affinity.rs
@@ -58,7 +58,7 @@
         let index = self.index(target);
         // Blocks are stored last to first, so that the start of the prefix is evicted last: later
         // blocks are useless without it.
-        for digest in prefix.iter().take(prompt::MAX_BLOCKS).rev() {
+        for digest in prefix.iter().take(prompt::MAX_PREFIX_BLOCKS).rev() {
             self.store(index, *digest);
         }
     }
@@ -103,7 +103,7 @@
             return 0;
         };
         // Engines evict a chain from its end, so the cached blocks are always a leading part of it.
-        let prefix = &prefix[..prefix.len().min(prompt::MAX_BLOCKS)];
+        let prefix = &prefix[..prefix.len().min(prompt::MAX_PREFIX_BLOCKS)];
         prefix.partition_point(|digest| cache.last_used.contains_key(digest))
     }
 
@@ -111,7 +111,12 @@
     #[must_use]
     pub fn holders(&self, prefix: &[u64], limit: usize) -> Vec<Holder<'_>> {
         let mut found: Vec<(TargetIndex, usize)> = Vec::new();
-        for (i, digest) in prefix.iter().take(prompt::MAX_BLOCKS).enumerate().rev() {
+        for (i, digest) in prefix
+            .iter()
+            .take(prompt::MAX_PREFIX_BLOCKS)
+            .enumerate()
+            .rev()
+        {
             let indices = self.holders.get(digest).map_or(&[][..], Vec::as_slice);
             // Holders of a longer part also hold this one, so an equal count means the same
             // targets.
--- a/crates/lilaccrank/src/prompt.rs
+++ b/crates/lilaccrank/src/prompt.rs
@@ -7,7 +7,7 @@
 /// Tokens per prefix block, the unit in which engines cache.
 pub const BLOCK_TOKENS: usize = 64;
 /// Maximum number of blocks of a prompt that are digested; the rest of the prompt is ignored.
-pub const MAX_BLOCKS: usize = 256;
+pub const MAX_PREFIX_BLOCKS: usize = 256;
 
 /// Estimates the length of a text in tokens.
 #[must_use]
@@ -25,7 +25,7 @@
 /// Like [`prefix_digests`], for any bytes and a block size in bytes.
 #[must_use]
 pub fn block_prefix_digests(prompt: &[u8], block: usize) -> Vec<u64> {
-    let blocks = prompt.chunks_exact(block.max(1)).take(MAX_BLOCKS);
+    let blocks = prompt.chunks_exact(block.max(1)).take(MAX_PREFIX_BLOCKS);
     let chain = blocks.scan(0, |seed, block| {
         *seed = xxh3::xxh3_64_with_seed(block, *seed);
         Some(*seed)
