--- a/crates/lilaccrank/src/dispatch/drain_rate.rs
+++ b/crates/lilaccrank/src/dispatch/drain_rate.rs
@@ -67,6 +67,6 @@
         };
         let wait = Duration::try_from_secs_f64(wait).unwrap_or(MAX_RETRY_AFTER);
         let wait = wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
-        wait + backoff::full_jitter_by(&mut self.rng, wait)
+        wait + backoff::full_jitter_with(&mut self.rng, wait)
     }
 }
--- a/crates/lilaccrank/src/dispatch/reports.rs
+++ b/crates/lilaccrank/src/dispatch/reports.rs
@@ -10,7 +10,7 @@
 use super::work::Work;
 use crate::document::{Pool, TargetState};
 use crate::error_kind::ErrorKind;
-use crate::target_life::TargetLife;
+use crate::target_instance::TargetInstance;
 
 /// EWMA weight of a new sample in the length ratio of answers.
 const LENGTH_RATIO_GAIN: f64 = 0.05;
@@ -94,7 +94,12 @@
     }
 
     /// Applies a target's own load report.
-    pub(super) fn load_report(&mut self, target: &TargetLife, report: LoadReport, now: Instant) {
+    pub(super) fn load_report(
+        &mut self,
+        target: &TargetInstance,
+        report: LoadReport,
+        now: Instant,
+    ) {
         if let Some(target) = self.targets.get_mut(target) {
             target.estimate.record_report(report, now);
             self.note_capacity_change();
@@ -105,7 +110,7 @@
     /// Applies cache events of a target.
     pub(super) fn cache_events(
         &mut self,
-        target: &TargetLife,
+        target: &TargetInstance,
         sequence: u64,
         events: &[CacheEvent],
     ) {
@@ -131,12 +136,15 @@
         let nearby: Vec<_> = nearby.filter(|t| is_near(&t.data_centre)).collect();
         // Observations of an earlier incarnation of a target don't apply to the current one.
         let known = self.targets.values();
-        let is_listed =
-            |life: &TargetLife| nearby.iter().any(|listed| TargetLife::of(listed) == *life);
+        let is_listed = |life: &TargetInstance| {
+            nearby
+                .iter()
+                .any(|listed| TargetInstance::of(listed) == *life)
+        };
         let known = known.filter(|target| is_listed(&target.life));
         let initial = Estimate::from_median(known.map(|target| &target.estimate), now);
         for listed in nearby {
-            let life = TargetLife::of(listed);
+            let life = TargetInstance::of(listed);
             let target = self.targets.entry(life.clone()).or_insert_with(|| Target {
                 estimate: initial.clone(),
                 ..Target::new(life, listed.slots, now)
@@ -147,7 +155,7 @@
         }
         self.cfg.waiting_limit = pool.waiting_limit;
         self.note_capacity_change();
-        let lives: Vec<TargetLife> = self.targets.keys().cloned().collect();
+        let lives: Vec<TargetInstance> = self.targets.keys().cloned().collect();
         for life in &lives {
             self.remove_if_drained(life);
         }
@@ -161,7 +169,7 @@
     }
 
     /// Removes a target that is not live and has no running requests.
-    pub(super) fn remove_if_drained(&mut self, life: &TargetLife) {
+    pub(super) fn remove_if_drained(&mut self, life: &TargetInstance) {
         let target = self.targets.get(life);
         if target.is_some_and(|target| !target.live && target.estimate.running() == 0) {
             self.targets.shift_remove(life);
--- a/crates/lilaccrank/src/dispatch/sharing.rs
+++ b/crates/lilaccrank/src/dispatch/sharing.rs
@@ -15,7 +15,7 @@
 use super::work::Work;
 use crate::ids::{TargetId, VmId};
 use crate::rendezvous;
-use crate::target_life::LifeDigest;
+use crate::target_instance::InstanceDigest;
 
 mod sample;
 
@@ -49,7 +49,7 @@
     /// Samples since its last digest.
     pub samples: Vec<Sample>,
     /// Cumulative number of requests sent to each target with a rate limit.
-    pub sent: Vec<(LifeDigest, u32)>,
+    pub sent: Vec<(InstanceDigest, u32)>,
     /// Priority of the first waiting ask that would use any free slot.
     pub waiting: Option<Priority>,
     /// If set, targets that are left out have no load; otherwise their load is unchanged.
@@ -64,7 +64,7 @@
     /// Number of running requests.
     pub running: u32,
     /// Digest of the target.
-    pub target: LifeDigest,
+    pub target: InstanceDigest,
 }
 
 /// Load of the other daemons, and the state that was last sent to them.
@@ -74,7 +74,7 @@
     has_urgent_change: bool,
     peers: IndexMap<VmId, Peer>,
     samples: Vec<Sample>,
-    announced: IndexMap<LifeDigest, Announced>,
+    announced: IndexMap<InstanceDigest, Announced>,
     announced_waiting: Option<Priority>,
     last_full_digest: Option<Instant>,
 }
@@ -82,8 +82,8 @@
 #[derive(Debug)]
 struct Peer {
     last_digest: Instant,
-    loads: IndexMap<LifeDigest, TargetLoad>,
-    sent: IndexMap<LifeDigest, u32>,
+    loads: IndexMap<InstanceDigest, TargetLoad>,
+    sent: IndexMap<InstanceDigest, u32>,
     waiting: Option<Priority>,
 }
 
@@ -98,7 +98,7 @@
 impl Peer {
     /// Returns the requests sent since the last digest; the first count of a target is only a
     /// baseline.
-    fn apply_sent(&mut self, sent: &[(LifeDigest, u32)]) -> Vec<(LifeDigest, u32)> {
+    fn apply_sent(&mut self, sent: &[(InstanceDigest, u32)]) -> Vec<(InstanceDigest, u32)> {
         let new = sent.iter().filter_map(|(target, count)| {
             let before = self.sent.insert(*target, *count)?;
             let new = count.checked_sub(before).unwrap_or(*count);
@@ -128,7 +128,7 @@
 
 impl Sharing {
     /// Adds a sample to the next digest.
-    pub(super) fn record(&mut self, target: LifeDigest, observation: Observation) {
+    pub(super) fn record(&mut self, target: InstanceDigest, observation: Observation) {
         if self.samples.len() < SAMPLES_LIMIT {
             self.samples.push(Sample {
                 observation,
@@ -151,8 +151,8 @@
     }
 
     /// Combined load of all peers by target.
-    fn totals(&self) -> IndexMap<LifeDigest, (u32, Work)> {
-        let mut totals: IndexMap<LifeDigest, (u32, Work)> = IndexMap::new();
+    fn totals(&self) -> IndexMap<InstanceDigest, (u32, Work)> {
+        let mut totals: IndexMap<InstanceDigest, (u32, Work)> = IndexMap::new();
         for load in self.peers.values().flat_map(|peer| peer.loads.values()) {
             let total = totals.entry(load.target).or_default();
             total.0 = total.0.saturating_add(load.running);
--- a/crates/lilaccrank/src/dispatch/sharing/sample.rs
+++ b/crates/lilaccrank/src/dispatch/sharing/sample.rs
@@ -5,7 +5,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-use crate::target_life::LifeDigest;
+use crate::target_instance::InstanceDigest;
 
 /// One observation of a target.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
@@ -14,7 +14,7 @@
     /// The observation.
     pub observation: Observation,
     /// Digest of the target.
-    pub target: LifeDigest,
+    pub target: InstanceDigest,
 }
 
 /// Observed behaviour of a target.
@@ -45,7 +45,7 @@
 /// Wire format of a sample: target, kind, time in microseconds and a number. Names of kinds and
 /// fields would triple its size.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
-struct Packed(LifeDigest, u8, u32, u64);
+struct Packed(InstanceDigest, u8, u32, u64);
 
 /// Unknown kind of sample, from a newer version.
 #[derive(Debug, Display)]
--- a/crates/lilaccrank/tests/suite/dispatch_inputs.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_inputs.rs
@@ -4,7 +4,7 @@
 
 use lilaccrank::dispatch::message::{Ask, LoadReport, ReportKind};
 use lilaccrank::dispatch::sharing::{Digest, Observation, Sample, TargetLoad};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use quickcheck::{Arbitrary, Gen};
 
 use crate::dispatch_fixtures::{ask, harness};
@@ -31,7 +31,7 @@
         let load = |g: &mut Gen| TargetLoad {
             prefill: boundary_value(g),
             running: boundary_value(g) as u32,
-            target: TargetLife::from("t0").digest(),
+            target: TargetInstance::from("t0").digest(),
         };
         let sample = |g: &mut Gen| Sample {
             observation: match u8::arbitrary(g) % 3 {
@@ -45,12 +45,15 @@
                 },
                 _ => Observation::Failed,
             },
-            target: TargetLife::from("t0").digest(),
+            target: TargetInstance::from("t0").digest(),
         };
         Self(Digest {
             loads: (0..3).map(|_| load(g)).collect(),
             samples: (0..3).map(|_| sample(g)).collect(),
-            sent: vec![(TargetLife::from("t0").digest(), boundary_value(g) as u32)],
+            sent: vec![(
+                TargetInstance::from("t0").digest(),
+                boundary_value(g) as u32,
+            )],
             waiting: None,
             whole: bool::arbitrary(g),
         })
@@ -101,7 +104,7 @@
         let report = LoadReport { running, waiting };
         harness
             .dispatcher
-            .load_report(&TargetLife::from("t0"), report);
+            .load_report(&TargetInstance::from("t0"), report);
         harness.ask(ask("a", 0));
         let step = Duration::from_millis(step);
         harness.report("a", "t0", ReportKind::FirstToken { after: step });
--- a/crates/lilaccrank/tests/suite/dispatch_restarts.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_restarts.rs
@@ -5,7 +5,7 @@
 use lilaccrank::dispatch::health::State;
 use lilaccrank::dispatch::message::{CacheEvent, ReportKind};
 use lilaccrank::dispatch::sharing::{Digest, Observation, Sample, TargetLoad};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::dispatch_fixtures::{ask, granted, harness};
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
@@ -15,7 +15,7 @@
 
 /// Restarts the only target.
 fn restart_target(harness: &mut Harness) {
-    harness.pool.targets[0].born += START_TIME_MS;
+    harness.pool.targets[0].started_ms += START_TIME_MS;
     harness.dispatcher.set_targets(&harness.pool, DATA_CENTRE);
 }
 
@@ -42,7 +42,7 @@
 fn peer_load_from_before_a_restart_is_ignored() {
     let mut harness = harness(&[1]);
     restart_target(&mut harness);
-    let old = TargetLife::from("t0").digest();
+    let old = TargetInstance::from("t0").digest();
     let stale = Digest {
         loads: vec![TargetLoad {
             prefill: 1_000,
@@ -70,7 +70,7 @@
 #[test]
 fn restart_resets_all_that_was_learned() {
     let mut harness = harness(&[8]);
-    let life = TargetLife::from("t0");
+    let life = TargetInstance::from("t0");
     let initial = harness.dispatcher.status().targets[0].clone();
     for number in 0..40 {
         let request = format!("r{number}");
@@ -107,7 +107,7 @@
     harness.verdicts();
     restart_target(&mut harness);
     let before = harness.dispatcher.status().targets.clone();
-    let old = TargetLife::from("t0");
+    let old = TargetInstance::from("t0");
     harness
         .dispatcher
         .cache_events(&old, 1, &[CacheEvent::Stored(7)]);
--- a/crates/lilaccrank/tests/suite/dispatch_spread.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_spread.rs
@@ -42,7 +42,7 @@
 #[test]
 fn daemons_that_start_together_choose_different_targets() {
     assert_eq!(max_requests_on_one_target(|_, _| ()), 70);
-    let spread = max_requests_on_one_target(cells::spread);
+    let spread = max_requests_on_one_target(cells::sort_by_daemon_hash);
     assert!(spread <= 4, "{spread}");
 }
 
@@ -181,7 +181,7 @@
         let mut pool = harness.pool.clone();
         harness.pool.targets.clear();
         harness.dispatcher.set_targets(&harness.pool, DATA_CENTRE);
-        cells::spread(&mut pool.targets, &vm);
+        cells::sort_by_daemon_hash(&mut pool.targets, &vm);
         harness.dispatcher.set_targets(&pool, DATA_CENTRE);
         let load = |i: u64| TargetLoad {
             prefill: 2 * i,
--- a/crates/lilaccrank/tests/suite/pool_model/dispatcher_policy.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/dispatcher_policy.rs
@@ -13,7 +13,7 @@
 use lilaccrank::document::{Pool, Target};
 use lilaccrank::paused_clock::PausedClock;
 use lilaccrank::stream_progress::{self, StreamProgress};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use super::{Decision, Engine, Load, Policy, Progress, Request, TICK};
 
@@ -156,7 +156,7 @@
                 continue;
             }
             running.checked_at = at;
-            let Some(remaining) = running.progress.projected_overrun(at) else {
+            let Some(remaining) = running.progress.remaining_time_if_late(at) else {
                 continue;
             };
             running.migration = Migration::Requested;
@@ -169,7 +169,7 @@
         for (request, engine, partial) in asks {
             let ask = Ask {
                 partial: Some(partial),
-                exclusions: vec![TargetLife::from(&*engine.to_string())],
+                exclusions: vec![TargetInstance::from(&*engine.to_string())],
                 request: format!("{}{MIGRATION_SUFFIX}", request.id),
                 ..self.ask(&request, now)
             };
@@ -182,7 +182,7 @@
             ask: 1,
             kind,
             request: ask_id,
-            target: TargetLife::from(&*engine.to_string()),
+            target: TargetInstance::from(&*engine.to_string()),
         });
     }
 
@@ -273,7 +273,7 @@
         };
         let mut received = |tokens: u32| {
             running.tokens += tokens;
-            running.progress.received(tokens, at);
+            running.progress.record_tokens(tokens, at);
         };
         let kind = match progress {
             Progress::TimedOut(decoded) => ReportKind::Ended {
--- a/crates/lilaccrankd/src/callers/caller_request.rs
+++ b/crates/lilaccrankd/src/callers/caller_request.rs
@@ -112,7 +112,7 @@
             idempotent: idempotent(&head.headers)?,
             key: key(&head.headers)?,
             path: head.uri.path().to_owned(),
-            tier_wish: tier_wish(&head.headers, cx)?,
+            requested_tier: tier_wish(&head.headers, cx)?,
             ..Facts::default()
         };
         let operation = match answer_format(&head) {
@@ -274,7 +274,7 @@
             .ok_or_else(|| bad_request("give `prompt`, a string"))?
             .to_owned(),
     };
-    facts.prompt_tokens = prompt::tokens(&prompt);
+    facts.prompt_tokens = prompt::estimate_tokens(&prompt);
     facts.max_tokens = match object.get("max_tokens") {
         None => DEFAULT_MAX_TOKENS,
         Some(value) => value
--- a/crates/lilaccrankd/src/peers/advisories.rs
+++ b/crates/lilaccrankd/src/peers/advisories.rs
@@ -8,7 +8,7 @@
 use lilaccrank::advisories::sync::{self, Cursors, Page, Pull};
 use lilaccrank::advisories::{Advisories, Advisory, Fact};
 use lilaccrank::ids::{ContentDigest, Incarnation, VmId};
-use lilaccrank::target_life::{LifeDigest, TargetLife};
+use lilaccrank::target_instance::{InstanceDigest, TargetInstance};
 
 use crate::peers::change_signal::ChangeSignal;
 use crate::peers::load_exchange::LoadExchange;
@@ -41,7 +41,7 @@
     pub fn record_crash(
         &self,
         content: ContentDigest,
-        target: &TargetLife,
+        target: &TargetInstance,
         exchange: &LoadExchange,
     ) {
         if self
@@ -117,7 +117,7 @@
     /// Notes the rate limit that a target advertised with an answer.
     pub fn record_rate_limit(
         &self,
-        target: &TargetLife,
+        target: &TargetInstance,
         limit: RateLimit,
         exchange: &LoadExchange,
     ) {
@@ -134,7 +134,7 @@
     }
 
     /// Rates that targets advertise, in requests per second.
-    pub fn rate_limits(&self) -> IndexMap<LifeDigest, f64> {
+    pub fn rate_limits(&self) -> IndexMap<InstanceDigest, f64> {
         self.known.borrow().rate_limits(Instant::now()).collect()
     }
 
--- a/crates/lilaccrankd/src/peers/load_exchange.rs
+++ b/crates/lilaccrankd/src/peers/load_exchange.rs
@@ -163,7 +163,7 @@
         monoio::time::sleep(interval).await;
         let cell = server::cell(&daemon);
         let me = &daemon.cfg.vm;
-        if cell.id().count < 2 || cell.speaker(me) != me || !is_needed(&daemon) {
+        if cell.id().count < 2 || cell.representative(me) != me || !is_needed(&daemon) {
             continue;
         }
         let demand = daemon.quotas.cell_demand();
@@ -205,7 +205,7 @@
 }
 
 fn is_cell_peer(daemon: &Daemon, vm: &VmId) -> bool {
-    !daemon.duties.is_dispatch_local() || server::cell(daemon).mates().contains(vm)
+    !daemon.duties.is_dispatch_local() || server::cell(daemon).peers().contains(vm)
 }
 
 async fn send_update(
--- a/crates/lilaccrankd/src/request/migration.rs
+++ b/crates/lilaccrankd/src/request/migration.rs
@@ -34,7 +34,9 @@
         }
         loop {
             monoio::time::sleep(stream_progress::CHECK_INTERVAL).await;
-            let Some(remaining) = observer.stream_progress().projected_overrun(Instant::now())
+            let Some(remaining) = observer
+                .stream_progress()
+                .remaining_time_if_late(Instant::now())
             else {
                 continue;
             };
--- a/crates/lilaccrankd/src/request/quarantine.rs
+++ b/crates/lilaccrankd/src/request/quarantine.rs
@@ -2,7 +2,7 @@
 
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::ids::ContentDigest;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::callers::refusal::{Refusal, Result};
 use crate::daemon::Daemon;
@@ -36,7 +36,7 @@
     }
 
     /// Records that the connection to `target` ended before the answer did.
-    pub fn record_crash(&self, daemon: &Daemon, target: &TargetLife) {
+    pub fn record_crash(&self, daemon: &Daemon, target: &TargetInstance) {
         let exchange = &daemon.load_exchange;
         daemon
             .advisories
--- a/crates/lilaccrankd/tests/suite/listing.rs
+++ b/crates/lilaccrankd/tests/suite/listing.rs
@@ -2,7 +2,7 @@
 
 use indexmap::{IndexMap, IndexSet};
 use lilaccrank::document::{Pool, Target, TargetState};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use lilaccrankd::targets::live_list::{Listing, LiveList};
 
 const POOL: &str = "engines";
@@ -71,7 +71,7 @@
     list.update(live(7, &["a", "b"]), false);
     list.update(live(8, &["a"]), false);
     assert_eq!(ids(&list), ["a"]);
-    assert_eq!(list.find(POOL, &TargetLife::from("b")), None);
+    assert_eq!(list.find(POOL, &TargetInstance::from("b")), None);
 }
 
 // The platform was silent, and entries of targets that live lapsed. They stay until they come back
@@ -82,7 +82,7 @@
     list.update(live(7, &["a", "b", "c"]), false);
     list.update(live(20, &["a"]), true);
     assert_eq!(ids(&list), ["a", "b", "c"]);
-    assert!(list.find(POOL, &TargetLife::from("b")).is_some());
+    assert!(list.find(POOL, &TargetInstance::from("b")).is_some());
     list.update(live(21, &["a", "b"]), true);
     assert_eq!(ids(&list), ["a", "b", "c"]);
     assert!(list.forget_lapsed());
@@ -124,14 +124,14 @@
 /// A target that was born at `born` and is in this state.
 fn listing_of_instance(revision: u64, born: u64, state: TargetState) -> Listing {
     let mut listing = listing(revision, &[("a", state)]);
-    listing.targets[POOL][0].born = born;
+    listing.targets[POOL][0].started_ms = born;
     listing
 }
 
 fn only(list: &LiveList) -> (u64, TargetState) {
     let listing = list.listing();
     let target = &listing.targets[POOL][0];
-    (target.born, target.state)
+    (target.started_ms, target.state)
 }
 
 // The old life of a target was leaving, the new one serves. The entry of the old one is written once
@@ -157,8 +157,8 @@
 fn find_requires_the_same_instance() {
     let list = LiveList::default();
     list.update(listing_of_instance(7, 100, TargetState::Live), false);
-    let instance = TargetLife {
-        born: 100,
+    let instance = TargetInstance {
+        started_ms: 100,
         id: "a".to_owned(),
     };
     assert!(list.find(POOL, &instance).is_some());
