--- a/crates/lilaccrank/tests/suite/lease.rs
+++ b/crates/lilaccrank/tests/suite/lease.rs
@@ -14,7 +14,7 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
 use crate::fake_store::FakeStore;
-use crate::process::{Power, Process};
+use crate::process::{FakeProcess, ProcessState};
 
 const KEY: &str = "leases/orders";
 
@@ -97,7 +97,7 @@
     let store = FakeStore::new(clock.clone());
     let mut pool = LocalPool::new();
     let held = acquire("a", &store, &clock);
-    store.faults.slow_answer.set(Some(Duration::from_secs(20)));
+    store.faults.delay_answer.set(Some(Duration::from_secs(20)));
     let renewal = pool
         .spawner()
         .spawn_local_with_handle(held.renew())
@@ -184,7 +184,7 @@
     clock: PausedClock,
     last: Option<(usize, u64)>,
     pool: LocalPool,
-    processes: Vec<Process>,
+    processes: Vec<FakeProcess>,
     store: FakeStore,
     handles: Vec<LeaseHandle<PausedClock>>,
 }
@@ -198,7 +198,7 @@
         let mut handles = Vec::new();
         for holder in ["a", "b", "c"] {
             let keeper = Keeper::new(candidate(holder, &store, &clock));
-            let process = Process::new();
+            let process = FakeProcess::new();
             handles.push(keeper.handle());
             pool.spawner()
                 .spawn_local(process.clone().run(keeper.run()))
@@ -219,12 +219,16 @@
         let faults = &self.store.faults;
         match event {
             Event::Advance(ms) => return self.advance(ms),
-            Event::StoreUnavailable(away) => faults.away.set(away),
+            Event::StoreUnavailable(away) => faults.unavailable.set(away),
             Event::DelayWrite(ms) => faults.delay_write.set(Some(millis(ms))),
             Event::LoseAnswer => faults.lose_answer.set(true),
-            Event::Pause(index) => self.processes[usize::from(index)].set(Power::Frozen),
-            Event::Resume(index) => self.processes[usize::from(index)].set(Power::Running),
-            Event::SlowAnswer(ms) => faults.slow_answer.set(Some(millis(ms))),
+            Event::Pause(index) => {
+                self.processes[usize::from(index)].set_state(ProcessState::Frozen)
+            }
+            Event::Resume(index) => {
+                self.processes[usize::from(index)].set_state(ProcessState::Running)
+            }
+            Event::SlowAnswer(ms) => faults.delay_answer.set(Some(millis(ms))),
         }
         self.is_consistent()
     }
--- a/crates/lilaccrankd/src/callers/entry.rs
+++ b/crates/lilaccrankd/src/callers/entry.rs
@@ -248,7 +248,7 @@
 /// Time since the configuration was last confirmed as the newest, in milliseconds for log lines, or
 /// -1 without a confirmation.
 fn log_config_age(daemon: &Daemon) -> i64 {
-    let age = daemon.adoption.age(MonoioClock.boot());
+    let age = daemon.adoption.age(MonoioClock.boot_time());
     age.map_or(-1, |age| i64::try_from(age.as_millis()).unwrap_or(i64::MAX))
 }
 
--- a/crates/lilaccrankd/src/callers/refusal.rs
+++ b/crates/lilaccrankd/src/callers/refusal.rs
@@ -4,7 +4,7 @@
 
 use hyper::header::{CONTENT_TYPE, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank_http::body::{self, Body};
 use serde::Serialize;
 use thiserror::Error;
@@ -34,7 +34,7 @@
     /// What went wrong and, where possible, what the caller can do about it.
     pub message: String,
     /// Whether a target may have run the request.
-    pub ran: Ran,
+    pub ran: Executed,
     /// Time after which the caller may retry; `None` if no retry is advised.
     pub retry_after: Option<Duration>,
 }
@@ -48,19 +48,19 @@
 struct Details<'a> {
     kind: ErrorKind,
     message: &'a str,
-    ran: Ran,
+    ran: Executed,
 }
 
 impl Refusal {
     /// Creates a refusal with the defaults of its kind.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
-        let answer = kind.answer();
+        let answer = kind.response();
         Self {
             connection_lost: false,
             kind,
             message: message.into(),
-            ran: answer.ran,
-            retry_after: answer.retry.then_some(DEFAULT_RETRY_AFTER),
+            ran: answer.executed,
+            retry_after: answer.retryable.then_some(DEFAULT_RETRY_AFTER),
         }
     }
 
@@ -80,7 +80,7 @@
 
     /// Overrides whether the request may have run, where the code that failed knows it.
     #[must_use]
-    pub fn ran(mut self, ran: Ran) -> Self {
+    pub fn ran(mut self, ran: Executed) -> Self {
         self.ran = ran;
         self
     }
@@ -102,7 +102,7 @@
     #[must_use]
     pub fn response(&self) -> Response<Body> {
         let mut res = Response::new(body::full(self.json()));
-        *res.status_mut() = StatusCode::from_u16(self.kind.answer().status)
+        *res.status_mut() = StatusCode::from_u16(self.kind.response().status)
             .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         let headers = res.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/crates/lilaccrankd/src/configuration.rs
+++ b/crates/lilaccrankd/src/configuration.rs
@@ -81,7 +81,7 @@
         let until_stale = until_stale(daemon);
         pin_mut!(changed, until_stale);
         if let Either::Right(_) = future::select(changed, until_stale).await {
-            let age = daemon.platform_contact.age(MonoioClock.boot());
+            let age = daemon.platform_contact.age(MonoioClock.boot_time());
             log::warn!(
                 heard_ms_ago = age.map_or(-1, |age| age.as_millis() as i64);
                 "no watcher tells anything new: this daemon asks the platform itself"
@@ -136,13 +136,13 @@
 }
 
 fn is_stale(daemon: &Daemon) -> bool {
-    let contact_age = daemon.platform_contact.age(MonoioClock.boot());
+    let contact_age = daemon.platform_contact.age(MonoioClock.boot_time());
     contact_age.is_none_or(|age| age >= STALE_AFTER)
 }
 
 /// Whether a watcher hears the platform, and has told so of late.
 fn has_fresh_watcher(daemon: &Daemon) -> bool {
-    let contact_age = daemon.platform_contact.watcher_age(MonoioClock.boot());
+    let contact_age = daemon.platform_contact.watcher_age(MonoioClock.boot_time());
     daemon.cfg.configuration_lease_ms == 0 || contact_age.is_some_and(|age| age < STALE_AFTER)
 }
 
--- a/crates/lilaccrankd/src/configuration/feed.rs
+++ b/crates/lilaccrankd/src/configuration/feed.rs
@@ -30,9 +30,9 @@
     loop {
         monoio::time::sleep(every / 2 + backoff::full_jitter(every)).await;
         turn += 1;
-        let contact_age = daemon.platform_contact.age(MonoioClock.boot());
+        let contact_age = daemon.platform_contact.age(MonoioClock.boot_time());
         let stale = contact_age.is_none_or(|age| age > FRESH_AGE);
-        let direct = daemon.platform_contact.direct_age(MonoioClock.boot());
+        let direct = daemon.platform_contact.direct_age(MonoioClock.boot_time());
         let follows = direct.is_some_and(|age| age < FRESH_AGE);
         if daemon.duties.is_watcher() && follows {
             continue;
@@ -57,7 +57,7 @@
         revision: request.revision,
         ..Listing::default()
     };
-    let now = MonoioClock.boot();
+    let now = MonoioClock.boot_time();
     let incarnation = daemon.duties.me().incarnation;
     let cell = &daemon.load_exchange;
     Feed {
@@ -91,7 +91,7 @@
 }
 
 async fn poll(daemon: &Rc<Daemon>, vm: &VmId) {
-    let asked_at = MonoioClock.boot();
+    let asked_at = MonoioClock.boot_time();
     let known = daemon.live_list.listing();
     let req = FeedRequest {
         advisories: daemon.advisories.pull(vm),
--- a/crates/lilaccrankd/src/configuration/native_source.rs
+++ b/crates/lilaccrankd/src/configuration/native_source.rs
@@ -60,7 +60,7 @@
 async fn follow_list(daemon: &Daemon, handler: &UpdateHandler) {
     loop {
         // A list that can't be had leaves what is known in place: a leaving target stays so.
-        let asked = MonoioClock.boot();
+        let asked = MonoioClock.boot_time();
         if let Some(leaving) = read(daemon).await {
             handler.update_listing(Listing {
                 leaving,
--- a/crates/lilaccrankd/src/configuration/source.rs
+++ b/crates/lilaccrankd/src/configuration/source.rs
@@ -72,7 +72,7 @@
         self.daemon.adoption.confirm(at);
         self.daemon
             .platform_contact
-            .record_configuration(MonoioClock.boot());
+            .record_configuration(MonoioClock.boot_time());
     }
 
     /// Takes over a list of targets.
@@ -83,6 +83,8 @@
     /// The list of targets was the newest at `at`.
     pub fn confirm_listing(&self, at: BootTime) {
         self.daemon.live_list.confirm(at);
-        self.daemon.platform_contact.record_list(MonoioClock.boot());
+        self.daemon
+            .platform_contact
+            .record_list(MonoioClock.boot_time());
     }
 }
