--- a/crates/lilaccrank/src/guarded_store.rs
+++ b/crates/lilaccrank/src/guarded_store.rs
@@ -36,7 +36,7 @@
     /// Maximum ceiling of a wait between attempts.
     pub max_wait: Duration,
     /// Maximum number of attempts of one call, including the first.
-    pub max_attempts: u32,
+    pub attempt_limit: u32,
 }
 
 impl Default for Settings {
@@ -47,7 +47,7 @@
             circuit: circuit_breaker::Settings::default(),
             initial_wait: Duration::from_millis(50),
             max_wait: Duration::from_secs(1),
-            max_attempts: 3,
+            attempt_limit: 3,
         }
     }
 }
@@ -114,7 +114,7 @@
             let Some(min_wait) = retry_after(kind, &outcome) else {
                 return outcome;
             };
-            if attempts >= self.cfg.max_attempts
+            if attempts >= self.cfg.attempt_limit
                 || !self.budget.borrow_mut().try_retry(self.clock.now())
             {
                 return outcome;
--- a/crates/lilaccrank/src/orders.rs
+++ b/crates/lilaccrank/src/orders.rs
@@ -128,7 +128,7 @@
     /// Timeout for the answer; at most `in_flight`.
     pub timeout: Duration,
     /// Maximum number of times that an unanswered order is sent.
-    pub max_attempts: u32,
+    pub attempt_limit: u32,
 }
 
 impl Default for Settings {
@@ -136,7 +136,7 @@
         Self {
             in_flight: Duration::from_secs(5),
             timeout: Duration::from_secs(3),
-            max_attempts: 2,
+            attempt_limit: 2,
         }
     }
 }
@@ -196,7 +196,7 @@
             let outcome = self.send(&target.id, &order, &mut blocked_until).await;
             attempts += 1;
             match outcome {
-                Err(Error::Unknown(_)) if attempts < self.cfg.max_attempts => {}
+                Err(Error::Unknown(_)) if attempts < self.cfg.attempt_limit => {}
                 // An earlier attempt may have arrived even if this one failed.
                 Err(_) if attempts > 1 => return Err(Error::Unknown(target.id.clone())),
                 outcome => return outcome,
