--- a/crates/lilaccrankd/src/admin/publication.rs
+++ b/crates/lilaccrankd/src/admin/publication.rs
@@ -96,7 +96,7 @@
         let confirmation = publish::confirm(&archive, identity, &reports.held()).await;
         match confirmation.map_err(|_| unresolved())? {
             Confirmation::Displaced { by } => return Err(Failure::Displaced { by }.into()),
-            Confirmation::InForce => return Ok(reports.unheard),
+            Confirmation::InForce => return Ok(reports.unresponsive),
             Confirmation::Pending if is_past(until) => return Err(unresolved().into()),
             Confirmation::Pending => MonoioClock.sleep(RETRY_INTERVAL).await,
         }
--- a/crates/lilaccrankd/src/admin/reports.rs
+++ b/crates/lilaccrankd/src/admin/reports.rs
@@ -22,7 +22,7 @@
     /// Who told.
     pub received: Vec<Report>,
     /// Who did not.
-    pub unheard: Vec<VmId>,
+    pub unresponsive: Vec<VmId>,
 }
 
 impl Reports {
@@ -32,12 +32,12 @@
         let asked = live.members.iter().map(|member| ask(daemon, &member.vm));
         let mut reports = Self {
             received: Vec::new(),
-            unheard: Vec::new(),
+            unresponsive: Vec::new(),
         };
         for answer in future::join_all(asked).await {
             match answer {
                 Ok(report) => reports.received.push(report),
-                Err(vm) => reports.unheard.push(vm),
+                Err(vm) => reports.unresponsive.push(vm),
             }
         }
         reports
