--- a/crates/lilaccrankd/src/admin.rs
+++ b/crates/lilaccrankd/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' surface, with metrics and health.
+//! HTTP API for operators, with metrics, health checks and held answers.
 
 use std::rc::Rc;
 
@@ -29,7 +29,7 @@
 
 use error::Result;
 
-/// Answers one HTTP request of an operator.
+/// Handles one HTTP request to the admin address.
 pub async fn handle(
     daemon: Rc<Daemon>,
     signals: Signals,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Tells a balancer whether to send callers here.
+/// Answers a load balancer's readiness check.
 pub fn readiness(daemon: &Daemon) -> Response<Body> {
     match ready(daemon) {
         Ok(()) => text("ready\n".to_owned()),
@@ -108,7 +108,8 @@
 
 fn leave(daemon: &Daemon, signals: &Signals) -> operators::LeaveReply {
     log::info!("an operator asked this daemon to leave");
-    // From this answer on nothing new is taken; the rest of the shutdown follows.
+    // New requests are refused before the operator gets the reply; the rest of the shutdown
+    // follows.
     daemon.leaving.set(true);
     daemon.refusing.set(true);
     signals.request_shutdown();
@@ -131,7 +132,8 @@
     })
 }
 
-/// An answer that this daemon runs or holds, for a caller that repeated its key elsewhere.
+/// Streams an answer that this daemon produces or holds, for a caller that repeated its key at
+/// another daemon.
 async fn held_answer(
     daemon: &Daemon,
     req: &Request<Incoming>,
@@ -163,8 +165,8 @@
     }
     let in_force = daemon.in_force()?;
     daemon.check_lease()?;
-    // Configuration and list are asked for side by side. Without the list every request would be
-    // refused for want of a target.
+    // The configuration may arrive before the list of targets. Without the list, every request
+    // would be refused for lack of a target.
     let needs_list = in_force.document.pools.iter().any(|pool| pool.listed);
     if needs_list && daemon.live_list.age(MonoioClock.boot_time()).is_none() {
         let message = "the list of targets is not known yet";
--- a/crates/lilaccrankd/src/admin/configuration.rs
+++ b/crates/lilaccrankd/src/admin/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and earlier ones, read by operators.
+//! Operators' queries on the configuration in force and on earlier ones.
 
 use std::time::Duration;
 
@@ -16,14 +16,14 @@
 use super::error::Result;
 use crate::daemon::Daemon;
 
-/// Time to read the store for one request of an operator.
+/// Timeout for reading the store for one operator request.
 const READ_LIMIT: Duration = Duration::from_secs(5);
 
-/// The configuration in force in this daemon.
+/// Returns the configuration in force in this daemon.
 ///
 /// # Errors
 ///
-/// If there is none yet.
+/// If no configuration is in force yet.
 pub fn in_force(daemon: &Daemon) -> Result<ConfigurationView> {
     let in_force = daemon.in_force()?;
     Ok(ConfigurationView {
@@ -33,11 +33,11 @@
     })
 }
 
-/// What the rules in force say about a request.
+/// Explains how the rules in force match a request.
 ///
 /// # Errors
 ///
-/// If there are none yet.
+/// If no configuration is in force yet.
 pub fn explain(daemon: &Daemon, req: ExplainRequest) -> Result<Explanation> {
     let in_force = daemon.in_force()?;
     let mut facts = req.facts;
@@ -53,7 +53,7 @@
     ))
 }
 
-/// The configuration in force and its ancestors.
+/// Returns the configuration in force and its ancestors.
 ///
 /// # Errors
 ///
@@ -81,20 +81,21 @@
     })
 }
 
-/// The generation that a path of the history names.
+/// Parses the generation from a path below [`path::HISTORY`].
 pub fn generation(path: &str) -> Option<Generation> {
     let rest = path.strip_prefix(path::HISTORY)?;
     rest.strip_prefix('/')?.parse().ok()
 }
 
-/// The configuration in force or one that it was made from.
+/// Returns the configuration in force or one of its ancestors.
 ///
-/// Only these: after a store came back older, its history may still hold a generation that
-/// was displaced, and a rollback to it would bring back what never was in force everywhere.
+/// Other generations are not returned: after a store was restored to an older state, its history
+/// may still hold a displaced generation, and a rollback to it would bring back a configuration
+/// that was never in force everywhere.
 ///
 /// # Errors
 ///
-/// If it is not kept, or the store can't be read.
+/// If the generation is not kept or no ancestor, or the store can't be read.
 pub async fn earlier(daemon: &Daemon, generation: Generation) -> Result<ConfigurationView> {
     let missing = || Failure::NoGeneration { generation };
     let held = held(daemon).ok_or_else(missing)?;
--- a/crates/lilaccrankd/src/admin/error.rs
+++ b/crates/lilaccrankd/src/admin/error.rs
@@ -1,4 +1,4 @@
-//! What an operator is told when something is not done.
+//! Errors of operators' requests and their HTTP responses.
 
 use derive_more::From;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -12,17 +12,17 @@
 /// Result of an operator's request.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Why an operator's request was not done.
+/// Why an operator's request failed.
 #[derive(Debug, From)]
 pub enum Error {
-    /// A failure of what was asked.
+    /// The requested operation failed.
     Failure(Failure),
-    /// The request was not even looked at.
+    /// The request was refused before it was executed.
     Refusal(Refusal),
 }
 
 impl Error {
-    /// The whole HTTP answer.
+    /// Converts the error to an HTTP response.
     #[must_use]
     pub fn response(self) -> Response<Body> {
         let failure = match self {
--- a/crates/lilaccrankd/src/admin/json.rs
+++ b/crates/lilaccrankd/src/admin/json.rs
@@ -1,4 +1,4 @@
-//! Typed JSON bodies of the operators' surface.
+//! Typed JSON bodies of the operators' API.
 
 use hyper::Response;
 use hyper::body::Incoming;
@@ -13,26 +13,26 @@
 use crate::callers::refusal::Refusal;
 use crate::daemon::Daemon;
 
-/// Largest body of an operator. A document of 35,000 customers has some 10 MB; four times as
-/// much still leaves a daemon within its memory while one is read.
+/// Maximum body size of an operator's request, in bytes. A document with 35,000 customers is about
+/// 10 MB; a daemon can read four times as much within its memory limit.
 const BODY_LIMIT: usize = 40 << 20;
 
-/// Reads a JSON body.
+/// Reads and parses a JSON body.
 ///
 /// # Errors
 ///
-/// If it is too large, too slow, or of another shape.
+/// If the body is too large, arrives too slowly, or does not parse as `T`.
 pub async fn read<T: DeserializeOwned>(daemon: &Daemon, incoming: Incoming) -> Result<T> {
     let bytes = entry::read_body(daemon, incoming, BODY_LIMIT).await?;
     let read = serde_json::from_slice(&bytes);
     Ok(read.map_err(|e| Refusal::new(ErrorKind::BadRequest, format!("the body: {e}")))?)
 }
 
-/// A JSON answer.
+/// Returns a JSON response.
 ///
 /// # Errors
 ///
-/// If the value has no JSON.
+/// If the value can't be serialized.
 pub fn reply<T: Serialize>(value: &T) -> Result<Response<Body>> {
     let json = serde_json::to_vec(value);
     let json = json.map_err(|e| Refusal::new(ErrorKind::Internal, e.to_string()))?;
--- a/crates/lilaccrankd/src/admin/metrics.rs
+++ b/crates/lilaccrankd/src/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of the daemon, in the text format of prometheus.
+//! Metrics of the daemon in the Prometheus text format.
 
 use std::rc::Rc;
 
@@ -11,27 +11,27 @@
 
 use crate::peers::traffic::Traffic;
 
-/// Result of registering.
+/// Result of registering metrics.
 pub type Result<T, E = prometheus::Error> = std::result::Result<T, E>;
 
-/// Bounds of the histograms in seconds.
+/// Bucket bounds of latency histograms, in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.7, 2.5, 5.0, 10.0,
 ];
 
-/// Upper bounds of the classes of lengths, in tokens; what is longer is in a class of its own.
+/// Upper bounds of the length classes in tokens; longer requests are in the class `more`.
 const LENGTH_BOUNDS: [u32; 5] = [0, 64, 256, 1_024, 4_096];
 
-/// How long a request was, and how it ended.
+/// Lengths and outcome of a finished request.
 #[derive(Clone, Copy, Debug)]
 pub struct EndStats {
-    /// Tokens of its answer that came.
+    /// Tokens of the answer that were received.
     pub answer_tokens: u32,
-    /// Why there is no whole answer; `None` if there is.
+    /// Reason for an incomplete answer; `None` if it is complete.
     pub kind: Option<ErrorKind>,
-    /// Tokens of its prompt.
+    /// Tokens of the prompt.
     pub prompt_tokens: u32,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: Tier,
 }
 
@@ -50,19 +50,19 @@
     pub in_progress: IntGauge,
     refused: IntCounterVec,
     registry: Registry,
-    /// Second sends that the budget did not allow.
+    /// Retries that the retry budget denied.
     pub second_sends_denied: IntCounter,
     traffic: Rc<Traffic>,
-    /// Entries of the list of targets that name no target to use.
+    /// Entries of the list of targets that can't be used.
     pub unusable_entries: IntGauge,
 }
 
 impl Metrics {
-    /// Registers everything; `traffic` is read whenever the metrics are.
+    /// Registers all metrics; `traffic` is read at each scrape.
     ///
     /// # Errors
     ///
-    /// If two metrics have one name.
+    /// If two metrics have the same name.
     pub fn new(traffic: Rc<Traffic>) -> Result<Self> {
         let answered = IntCounterVec::new(
             Opts::new("lilaccrank_answered_total", "Whole answers by tier"),
@@ -149,18 +149,18 @@
         })
     }
 
-    /// Counts a whole answer.
+    /// Counts a complete answer.
     pub fn record_answer(&self, tier: Tier) {
         self.answered.with_label_values(&[&tier.to_string()]).inc();
     }
 
-    /// Counts an end without a whole answer.
+    /// Counts a request that ended without a complete answer.
     pub fn record_refusal(&self, kind: ErrorKind) {
         self.refused.with_label_values(&[&kind.to_string()]).inc();
     }
 
-    /// Counts a request by its lengths. A fault that strikes long requests only is not seen in counts
-    /// of all.
+    /// Counts a finished request by its lengths. A fault that affects only long requests does not
+    /// show in the totals.
     pub fn record_end(&self, stats: EndStats) {
         let tier = stats.tier.to_string();
         let end = stats
@@ -175,13 +175,13 @@
         }
     }
 
-    /// Everything as text.
+    /// Returns all metrics in the text format.
     #[must_use]
     pub fn text(&self) -> String {
         self.read_traffic();
         let mut buf = Vec::new();
         if let Err(e) = TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
-            log::warn!("metrics can't be written: {e}");
+            log::warn!("failed to encode the metrics: {e}");
         }
         String::from_utf8(buf).unwrap_or_default()
     }
--- a/crates/lilaccrankd/src/admin/orders.rs
+++ b/crates/lilaccrankd/src/admin/orders.rs
@@ -16,7 +16,7 @@
 use crate::orders::message::OrderRequest;
 use crate::orders::relay;
 
-/// Answers an order: 200 with `done`, 409 with `refused`, 504 with `unknown`.
+/// Handles an order. Responds with 200 for `done`, 409 for `refused` and 504 for `unknown`.
 pub async fn handle(daemon: &Rc<Daemon>, req: Request<Incoming>) -> Response<Body> {
     let answered = answer(daemon, req).await;
     answered.unwrap_or_else(|e| e.response())
--- a/crates/lilaccrankd/src/admin/publication.rs
+++ b/crates/lilaccrankd/src/admin/publication.rs
@@ -1,5 +1,5 @@
-//! Publishing for an operator: takes over the newest, writes, and answers only when what was
-//! written stays in force.
+//! Publishes a configuration for an operator: adopts the newest configuration first, writes the new
+//! one, and replies once it is certain to stay in force.
 
 use std::time::{Duration, Instant};
 
@@ -18,21 +18,21 @@
 use super::reports::Reports;
 use crate::daemon::Daemon;
 
-/// Time to take over the newest configuration of the live daemons. After a store came back
-/// older, a watcher settles within seconds which one that is.
+/// Timeout for adopting the newest configuration of the live daemons. After a store was restored to
+/// an older state, a watcher resolves within seconds which one is the newest.
 const SETTLE_LIMIT: Duration = Duration::from_secs(5);
-/// Time to write.
+/// Timeout for writing the publication.
 const WRITE_LIMIT: Duration = Duration::from_secs(5);
-/// Time until the publication is known to stay.
+/// Timeout for confirming that the publication stays in force.
 const CONFIRM_LIMIT: Duration = Duration::from_secs(5);
-/// Time between two looks.
+/// Interval between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Publishes what `author` sent.
+/// Publishes the document that `author` sent.
 ///
 /// # Errors
 ///
-/// If it is not accepted, or it is not known whether it is.
+/// If the publication is rejected, or its outcome is unknown.
 pub async fn publish(daemon: &Daemon, author: String, req: PublishRequest) -> Result<Published> {
     let document =
         reading::read_value(&req.document).map_err(|problems| Failure::Invalid { problems })?;
@@ -67,8 +67,8 @@
     })
 }
 
-/// Takes over the newest configuration of the live daemons, so that a store that came back
-/// older can't give out a generation again.
+/// Adopts the newest configuration of the live daemons, so that a store restored to an older state
+/// can't assign the same generation twice.
 async fn settle(daemon: &Daemon) -> Result<()> {
     let until = MonoioClock.now() + SETTLE_LIMIT;
     loop {
@@ -83,7 +83,8 @@
     }
 }
 
-/// Waits until the publication stays in force; returns the members that were not heard.
+/// Waits until the publication is certain to stay in force; returns the members that did not
+/// respond.
 async fn confirm(daemon: &Daemon, identity: &Identity) -> Result<Vec<VmId>> {
     let until = MonoioClock.now() + CONFIRM_LIMIT;
     let unresolved = || Failure::Unresolved {
--- a/crates/lilaccrankd/src/admin/reports.rs
+++ b/crates/lilaccrankd/src/admin/reports.rs
@@ -1,4 +1,4 @@
-//! What the live daemons of the data centre hold.
+//! Collects which configuration each live daemon of the data centre holds.
 
 use std::time::Duration;
 
@@ -13,20 +13,20 @@
 use crate::daemon::Daemon;
 use crate::peers::message::{HeldConfiguration, HeldConfigurationRequest};
 
-/// Time for one member to tell. A silent one is on its way to be declared dead, and an
-/// operator's publication does not wait for that.
+/// Timeout for a member's report. An operator's publication does not wait until an unresponsive
+/// member is declared dead.
 const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The reports of all live members, this daemon's own among them.
+/// Reports of all live members, including this daemon.
 pub struct Reports {
-    /// Who told.
+    /// Reports received.
     pub received: Vec<Report>,
-    /// Who did not.
+    /// Members that failed to report in time.
     pub unresponsive: Vec<VmId>,
 }
 
 impl Reports {
-    /// Asks all live members at once.
+    /// Queries all live members concurrently.
     pub async fn gather(daemon: &Daemon) -> Self {
         let live = daemon.membership.live();
         let asked = live.members.iter().map(|member| ask(daemon, &member.vm));
@@ -43,7 +43,7 @@
         reports
     }
 
-    /// The configurations held.
+    /// Returns the identities of the configurations held.
     pub fn held(&self) -> Vec<Identity> {
         let held = self
             .received
@@ -53,7 +53,7 @@
     }
 }
 
-/// The member's report, or its name if it does not tell in time.
+/// Returns the member's report, or its VM as the error if it fails to report in time.
 async fn ask(daemon: &Daemon, vm: &VmId) -> Result<Report, VmId> {
     if *vm == daemon.cfg.vm {
         return Ok(Report {
--- a/crates/lilaccrankd/src/args.rs
+++ b/crates/lilaccrankd/src/args.rs
@@ -1,4 +1,4 @@
-//! Arguments of the daemon.
+//! Command line arguments of the daemon.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use crate::serve;
 use crate::settings::{Result, Settings};
 
-/// Exit code for settings that can't be used.
+/// Exit code for invalid settings.
 const EXIT_SETTINGS: u8 = 2;
 
 /// Scheduler of requests for unlike engines.
@@ -63,7 +63,7 @@
     vm: Option<String>,
 }
 
-/// Reads the arguments and does what they say, with these adapters.
+/// Parses the arguments and runs the daemon with these adapters.
 pub fn run(mut ports: Ports) -> ExitCode {
     let args = Args::parse();
     if args.settings.is_some() {
@@ -91,7 +91,7 @@
     let exit_code = match serve::run(settings, ports) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            log::error!("can't go on: {e}");
+            log::error!("the daemon failed: {e}");
             ExitCode::FAILURE
         }
     };
@@ -100,7 +100,7 @@
 }
 
 impl Args {
-    /// The file's settings, with flags and environment over them.
+    /// Reads the settings file and applies flags and environment variables on top of it.
     fn settings(&self, ports: &Ports) -> Result<Settings> {
         let mut cfg = match &ports.settings_file {
             Some(path) => (ports.settings)(path)?,
--- a/crates/lilaccrankd/src/configuration.rs
+++ b/crates/lilaccrankd/src/configuration.rs
@@ -1,5 +1,5 @@
-//! Keeps this daemon's configuration up to date: two daemons of a data centre watch the store,
-//! the others hear of it from each other.
+//! Keeps the configuration up to date: the watchers of a data centre (two by default) follow the
+//! platform's store, and the other daemons learn of changes from their peers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,24 +26,24 @@
 pub mod platform_contact;
 pub mod source;
 
-/// Members told at once of a new configuration; each of them tells as many.
+/// Number of members that each daemon announces a new configuration to.
 const FANOUT: usize = 3;
-/// Time between two comparisons with another daemon. A rumour may miss some; with this they
-/// catch up well within the four seconds in which a change is to be in force.
+/// Interval between two anti-entropy exchanges with another daemon. Announcements may miss some
+/// members; the exchange brings them up to date within the four seconds that a change may take.
 const COMPARE_EVERY: Duration = Duration::from_secs(1);
-/// Silence of the platform after which a daemon asks it itself. A watcher is answered every eight
-/// tenths of a second, and a question to it comes every three tenths at most; a change has to be
-/// in force after two seconds.
+/// Age of the last contact with the platform at which a daemon queries it itself. The platform
+/// answers a watcher after 800 ms at most, members poll a watcher at least every 300 ms, and a
+/// change has to be in force after two seconds.
 const STALE_AFTER: Duration = Duration::from_millis(1_400);
-/// For each member, the time over which those that have heard nothing spread their questions:
-/// with seven members four of them ask within a tenth of a second.
+/// Maximum jitter per member before a daemon without a recent contact queries the platform. With
+/// seven members, four of them query it within 100 ms.
 const STALE_JITTER_PER_MEMBER: Duration = Duration::from_millis(20);
-/// That time at most. What a few learn takes a second or two to reach all of a large fleet, and a
-/// target that leaves may get nothing new after three: over 71 members the spread alone would be 1.4
-/// seconds, on top of the 1.75 until the silence is seen.
+/// Upper bound of the jitter. News takes a second or two to reach all of a large fleet, and a
+/// leaving target may get no new requests after three seconds. Without the bound, 71 members would
+/// spread over 1.4 s, in addition to the 1.75 s until a stale contact is noticed.
 const STALE_JITTER_MAX: Duration = Duration::from_millis(400);
 
-/// Follows the configuration for as long as the daemon runs.
+/// Keeps the configuration up to date for as long as the daemon runs.
 pub async fn run(daemon: Rc<Daemon>) {
     let watching = watch_while_needed(&daemon);
     let comparing = compare(&daemon);
@@ -53,7 +53,7 @@
     future::join4(watching, comparing, polling, applying).await;
 }
 
-/// Takes in that another daemon has a new configuration.
+/// Handles a peer's announcement; pulls the configuration if it is newer.
 pub fn handle_announcement(daemon: &Rc<Daemon>, announcement: Announcement) -> Done {
     if daemon.adoption.wants(&announcement.identity) {
         let daemon = Rc::clone(daemon);
@@ -62,7 +62,7 @@
     Done
 }
 
-/// Follows the platform while that is this daemon's duty, or while nobody else can.
+/// Follows the platform while this daemon is a watcher or no watcher has a recent contact.
 async fn watch_while_needed(daemon: &Rc<Daemon>) {
     loop {
         until_needed(daemon).await;
@@ -84,17 +84,18 @@
             let age = daemon.platform_contact.age(MonoioClock.boot_time());
             log::warn!(
                 heard_ms_ago = age.map_or(-1, |age| age.as_millis() as i64);
-                "no watcher tells anything new: this daemon asks the platform itself"
+                "no recent contact with the platform through peers: following the platform directly"
             );
             return;
         }
     }
 }
 
-/// Completes once the watchers have been silent, or cut off from the platform, for too long.
+/// Completes once the last contact with the platform is too old; never without a configuration
+/// lease.
 ///
-/// The platform may turn away just the daemons that watch. Each other daemon then waits for a
-/// time of its own, so that a few of them ask first and tell the rest.
+/// The platform may reject only the watchers. The other daemons then wait for a random time each,
+/// so that a few of them query the platform first and pass the result on.
 async fn until_stale(daemon: &Daemon) {
     if daemon.cfg.configuration_lease_ms == 0 {
         return future::pending().await;
@@ -113,7 +114,7 @@
     }
 }
 
-/// Time over which the members that have heard nothing spread their questions to the platform.
+/// Returns the maximum jitter before a member without a recent contact queries the platform.
 #[must_use]
 pub fn stale_jitter(members: usize) -> Duration {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
@@ -122,8 +123,8 @@
         .min(STALE_JITTER_MAX)
 }
 
-/// Completes once the watch is another member's duty and, where knowledge has to be fresh, that
-/// member tells what it learns.
+/// Completes once this daemon is no watcher and, if configurations have a lease, a watcher has a
+/// recent contact with the platform.
 async fn until_relieved(daemon: &Daemon) {
     loop {
         let version = daemon.membership.live().version;
@@ -140,7 +141,7 @@
     contact_age.is_none_or(|age| age >= STALE_AFTER)
 }
 
-/// Whether a watcher hears the platform, and has told so of late.
+/// Returns `true` if a watcher reported a recent contact of its own, or none is required.
 fn has_fresh_watcher(daemon: &Daemon) -> bool {
     let contact_age = daemon.platform_contact.watcher_age(MonoioClock.boot_time());
     daemon.cfg.configuration_lease_ms == 0 || contact_age.is_some_and(|age| age < STALE_AFTER)
@@ -170,14 +171,14 @@
         monoio::spawn(async move {
             let result: lilaccrank::peers::Result<Done> = peers.call(&vm, announcement).await;
             if let Err(e) = result {
-                log::debug!("a new configuration could not be announced: {e}");
+                log::debug!("failed to announce a new configuration: {e}");
             }
         });
     }
 }
 
-/// Compares with one other member a second, and as a watcher with another data centre too: what
-/// the store can't tell while it is away, a peer can.
+/// Exchanges configurations with a random member at each interval. A watcher also asks a daemon of
+/// another data centre, which may have a newer one while the store is unavailable.
 async fn compare(daemon: &Rc<Daemon>) {
     loop {
         monoio::time::sleep(COMPARE_EVERY).await;
@@ -195,7 +196,7 @@
     }
 }
 
-/// Some daemon of another data centre, by its peer address.
+/// Picks a random daemon of another data centre; returns its peer address.
 fn random_remote_daemon(daemon: &Daemon) -> Option<VmId> {
     let others = daemon.cfg.other_data_centres.values();
     let daemons = others.choose(&mut rand::rng())?;
@@ -203,14 +204,15 @@
     Some(daemon.peer.to_string())
 }
 
+/// Adopts the configuration of the daemon on `vm` if it is newer.
 pub(crate) async fn pull_configuration(daemon: &Daemon, vm: &VmId) {
     let before = daemon.adoption.identity();
     match exchange::take_from(&daemon.peers, vm, &daemon.adoption).await {
         Ok(now) if standing(before.as_ref(), now.as_ref()) == Some(Standing::Newer) => {
-            log::info!("took a newer configuration from {vm}");
+            log::info!("adopted a newer configuration from {vm}");
         }
         Ok(_) => {}
-        Err(e) => log::debug!("no configuration from {vm}: {e}"),
+        Err(e) => log::debug!("failed to get the configuration of {vm}: {e}"),
     }
 }
 
--- a/crates/lilaccrankd/src/configuration/feed.rs
+++ b/crates/lilaccrankd/src/configuration/feed.rs
@@ -1,5 +1,5 @@
-//! What a daemon hears from the watchers: whether its configuration is the newest, and the list
-//! of targets. Each answer tells how old its knowledge is.
+//! Polls the watchers for the newest configuration identity, the list of targets and advisories.
+//! Each reply says how old its information is.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use crate::peers::message::{Feed, FeedRequest};
 use crate::targets::live_list::{self, Listing};
 
-/// Age of what a watcher tells at most, as long as it hears the platform: it waits for a change
-/// for eight tenths of a second.
+/// Age up to which a contact with the platform counts as fresh. A watcher's long poll returns
+/// after 800 ms at most while the platform is reachable.
 const FRESH_AGE: Duration = Duration::from_millis(1_000);
 
-/// Asks the watchers in turn for as long as the daemon runs, and any other member where they know
-/// nothing fresh.
+/// Polls the watchers in turn for as long as the daemon runs, and random members as well while
+/// the watchers have no fresh contact with the platform.
 pub async fn follow(daemon: &Rc<Daemon>) {
     let every = Duration::from_millis(daemon.cfg.feed_ms);
     let mut turn = 0;
@@ -37,7 +37,7 @@
         if daemon.duties.is_watcher() && follows {
             continue;
         }
-        // A watcher that is turned away hears of others what the platform tells them.
+        // A watcher that the platform rejects gets its updates from other members.
         let needs_others = stale || daemon.duties.is_watcher();
         let peer = if needs_others && turn % 2 == 0 {
             random_member(daemon)
@@ -50,7 +50,7 @@
     }
 }
 
-/// Answers another daemon.
+/// Answers a poll of another daemon.
 pub fn answer(daemon: &Daemon, request: &FeedRequest) -> Feed {
     let listing = daemon.live_list.listing();
     let asker_has = Listing {
@@ -99,7 +99,7 @@
     };
     let reply: Feed = match daemon.peers.call(vm, req).await {
         Ok(reply) => reply,
-        Err(e) => return log::debug!("nothing heard from {vm}: {e}"),
+        Err(e) => return log::debug!("failed to poll {vm}: {e}"),
     };
     let cell = &daemon.load_exchange;
     daemon.advisories.merge_page(vm, &reply.advisories, cell);
@@ -111,7 +111,7 @@
     {
         configuration::pull_configuration(daemon, vm).await;
     }
-    // What the other one knew was at least this fresh when it was asked.
+    // Counted from the time of the request, so that transit time does not make it look fresher.
     let generation = |identity: Option<Identity>| identity.map(|found| found.generation);
     let current = generation(daemon.adoption.identity()) >= generation(reply.identity);
     if let Some(age) = reply.age.filter(|_| current) {
--- a/crates/lilaccrankd/src/configuration/in_force.rs
+++ b/crates/lilaccrankd/src/configuration/in_force.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, with what is computed from it once.
+//! The configuration in force, with lookup tables built once when it is adopted.
 
 use std::hash::Hash;
 use std::rc::Rc;
@@ -14,30 +14,30 @@
 use crate::peers::load_message::{self, CustomerDigest, PoolDigest};
 use crate::settings::Settings;
 
-/// One generation in the form that requests use.
+/// One generation of the configuration, indexed for requests.
 pub struct InForce {
     /// The operator who published it.
     pub author: String,
     /// The document as published.
     pub document: Rc<Document>,
-    /// Whether some rule is for callers that are not known.
+    /// `true` if some rule admits anonymous callers.
     pub has_anonymous_rules: bool,
-    /// Customers by what stands for them in words about load.
+    /// Customer ids by their digests in load messages.
     customers: IndexMap<CustomerDigest, CustomerId>,
-    /// Whether some customer has a quota.
+    /// `true` if some customer has a quota.
     pub has_quotas: bool,
-    /// Its name.
+    /// Identity of the generation.
     pub identity: Identity,
-    /// Callers' and operators' keys.
+    /// API keys of customers and operators.
     pub keys: KeyIndex,
-    /// Pools by what stands for them in words about load.
+    /// Pool ids by their digests in load messages.
     pools: IndexMap<PoolDigest, PoolId>,
-    /// The rules, compiled.
+    /// The compiled rules.
     pub rules: Rc<RuleSet>,
 }
 
 impl InForce {
-    /// The form that requests use of an adopted configuration.
+    /// Indexes an adopted configuration.
     #[must_use]
     pub fn new(configuration: &Configuration) -> Self {
         let document = Rc::clone(&configuration.document);
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Largest body that a caller may send, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[must_use]
     pub fn body_limit(&self, cfg: &Settings) -> usize {
         let limits = self.document.caller_limits;
         limits.map_or(cfg.body_limit, |limits| limits.body_bytes)
     }
 
-    /// The target of a pool, with what the pool's targets are.
+    /// Returns a target of a pool, with the pool's kind.
     #[must_use]
     pub fn target(&self, pool: &str, target: &str) -> Option<(PoolKind, &Target)> {
         let pool = self.document.pool(pool)?;
@@ -75,19 +75,19 @@
         Some((pool.kind, found))
     }
 
-    /// The customer that a digest stands for.
+    /// Returns the customer with this digest.
     #[must_use]
     pub fn customer(&self, digest: CustomerDigest) -> Option<&CustomerId> {
         self.customers.get(&digest)
     }
 
-    /// The pool that a digest stands for.
+    /// Returns the pool with this digest.
     #[must_use]
     pub fn pool(&self, digest: PoolDigest) -> Option<&PoolId> {
         self.pools.get(&digest)
     }
 
-    /// Whether any pool serves this model.
+    /// Returns `true` if some pool serves `model`.
     #[must_use]
     pub fn serves(&self, model: &str) -> bool {
         let pools = &self.document.pools;
--- a/crates/lilaccrankd/src/configuration/native_source.rs
+++ b/crates/lilaccrankd/src/configuration/native_source.rs
@@ -1,4 +1,4 @@
-//! The product's own source: publications in the store, and the platform's list of vms.
+//! Native source: publications in the platform's store, and the platform's list of VMs.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,13 +17,13 @@
 use crate::daemon::Daemon;
 use crate::targets::live_list::Listing;
 
-/// Time between two readings of the list. A leaving target gets nothing new within this and the
-/// time between two questions to a watcher, after the list shows it.
+/// Interval between two reads of the list. A target that the list shows as leaving gets no new
+/// requests after this interval plus the interval at which watchers are polled.
 const LIST_EVERY: Duration = Duration::from_secs(1);
-/// Path of the list at the platform.
+/// Path of the platform's list of VMs.
 const PATH: &str = "/v1/vms";
 
-/// The product's own source.
+/// Follows the publications in the store and the platform's list of VMs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeSource;
 
@@ -59,7 +59,7 @@
 
 async fn follow_list(daemon: &Daemon, handler: &UpdateHandler) {
     loop {
-        // A list that can't be had leaves what is known in place: a leaving target stays so.
+        // If the list can't be read, the previous one stays: a leaving target remains leaving.
         let asked = MonoioClock.boot_time();
         if let Some(leaving) = read(daemon).await {
             handler.update_listing(Listing {
@@ -77,7 +77,7 @@
     let listed: Vec<VmEntry> = match serde_json::from_slice(&bytes) {
         Ok(listed) => listed,
         Err(e) => {
-            log::warn!("the platform's list of vms can't be read: {e}");
+            log::warn!("failed to parse the platform's list of VMs: {e}");
             return None;
         }
     };
--- a/crates/lilaccrankd/src/configuration/platform_contact.rs
+++ b/crates/lilaccrankd/src/configuration/platform_contact.rs
@@ -1,42 +1,43 @@
-//! When the platform was last heard, by this daemon or by one that told it.
+//! Tracks the last contact with the platform, of this daemon or of a peer.
 //!
-//! This is no proof that nothing was published since: a waiting call may have been answered with
-//! what was known when it began. It tells whether there still is a way to the platform.
+//! A recent contact means that the platform is reachable, not that the configuration is the
+//! newest: a long poll may return what was current when it began.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use lilaccrank::clock::BootTime;
 
-/// Silence after which entries of targets that live may have lapsed: a target renews its entry
-/// every second or so, and it lapses after three times as long.
+/// Gap between contacts about the list after which entries of live targets may have expired. A
+/// target renews its entry about every second; the entry expires after three times as long.
 const LIST_OUTAGE: Duration = Duration::from_millis(2_200);
-/// Time after such a silence in which living targets come back. What is missing then has gone.
+/// Time after such a gap in which live targets renew their entries. Targets still missing then
+/// have gone.
 const RECOVERY_TIME: Duration = Duration::from_millis(2_200);
 
-/// When the platform was last heard.
+/// Times of the last contact with the platform, by source.
 #[derive(Default)]
 pub struct PlatformContact {
-    /// Of configurations, by whichever way.
+    /// Last contact about configurations, direct or through a peer.
     configuration: Cell<Option<BootTime>>,
-    /// By this daemon itself.
+    /// Last contact of this daemon itself about configurations.
     direct: Cell<Option<BootTime>>,
-    /// Of the list of targets, by whichever way.
+    /// Last contact about the list of targets, direct or through a peer.
     list: Cell<Option<BootTime>>,
-    /// When the last silence about the list ended in which entries may have lapsed.
+    /// End of the last gap in which entries of the list may have expired.
     outage_ended: Cell<Option<BootTime>>,
-    /// By a watcher itself, which told so.
+    /// Last direct contact that a watcher reported.
     watcher: Cell<Option<BootTime>>,
 }
 
 impl PlatformContact {
-    /// The platform answered this daemon about configurations.
+    /// Records that the platform answered this daemon about configurations.
     pub fn record_configuration(&self, at: BootTime) {
         advance(&self.configuration, at);
         advance(&self.direct, at);
     }
 
-    /// The platform answered this daemon about the list of targets.
+    /// Records a contact about the list of targets.
     pub fn record_list(&self, at: BootTime) {
         if self
             .list_age(at)
@@ -47,25 +48,26 @@
         advance(&self.list, at);
     }
 
-    /// Another daemon had heard it at `at`.
+    /// Records that a peer had a contact at `at`.
     pub fn record_peer(&self, at: BootTime) {
         advance(&self.configuration, at);
         self.record_list(at);
     }
 
-    /// A watcher had heard it itself at `at`.
+    /// Records that a watcher had a direct contact at `at`.
     pub fn record_watcher(&self, at: BootTime) {
         advance(&self.watcher, at);
     }
 
-    /// How long ago it was last heard of both; `None` if it never was.
+    /// Age of the older of the last contacts about configurations and about the list; `None` if
+    /// either is missing.
     #[must_use]
     pub fn age(&self, now: BootTime) -> Option<Duration> {
         let at = self.configuration.get()?.min(self.list.get()?);
         Some(now.saturating_sub(at))
     }
 
-    /// Whether entries of targets that live may be missing from a list that comes now.
+    /// Returns `true` if a list that arrives now may lack entries of live targets.
     #[must_use]
     pub fn may_lapse(&self, now: BootTime) -> bool {
         let silent = self.list_age(now).is_some_and(|age| age > LIST_OUTAGE);
@@ -73,19 +75,19 @@
         silent || ended.is_some_and(|ended| now.saturating_sub(ended) < RECOVERY_TIME)
     }
 
-    /// How long ago it was last heard of the list of targets.
+    /// Age of the last contact about the list of targets.
     #[must_use]
     pub fn list_age(&self, now: BootTime) -> Option<Duration> {
         Some(now.saturating_sub(self.list.get()?))
     }
 
-    /// How long ago this daemon itself heard it.
+    /// Age of the last direct contact of this daemon.
     #[must_use]
     pub fn direct_age(&self, now: BootTime) -> Option<Duration> {
         Some(now.saturating_sub(self.direct.get()?))
     }
 
-    /// How long ago a watcher itself had heard it.
+    /// Age of the last direct contact that a watcher reported.
     #[must_use]
     pub fn watcher_age(&self, now: BootTime) -> Option<Duration> {
         Some(now.saturating_sub(self.watcher.get()?))
--- a/crates/lilaccrankd/src/configuration/source.rs
+++ b/crates/lilaccrankd/src/configuration/source.rs
@@ -1,4 +1,4 @@
-//! The port to where configurations and the list of targets come from.
+//! Port for the source of configurations and of the list of targets.
 
 use std::rc::Rc;
 
@@ -13,20 +13,20 @@
 use crate::daemon::Daemon;
 use crate::targets::live_list::{self, Listing};
 
-/// Follows what the platform says, and tells the daemon.
+/// Watches the platform and passes its updates to the daemon.
 pub trait Source {
-    /// Follows for as long as it is polled; it never ends by itself.
+    /// Watches the platform until the future is dropped; it never completes.
     fn follow(&self, handler: UpdateHandler) -> LocalBoxFuture<'static, ()>;
 }
 
-/// Takes in what a source found.
+/// Applies the updates of a source to the daemon.
 #[derive(Clone)]
 pub struct UpdateHandler {
     daemon: Rc<Daemon>,
 }
 
 impl UpdateHandler {
-    /// The handler of a daemon.
+    /// Creates a handler for `daemon`.
     #[must_use]
     pub fn new(daemon: &Rc<Daemon>) -> Self {
         Self {
@@ -34,17 +34,17 @@
         }
     }
 
-    /// The daemon that is told.
+    /// The daemon that the updates are applied to.
     #[must_use]
     pub fn daemon(&self) -> &Rc<Daemon> {
         &self.daemon
     }
 
-    /// Adopts a whole configuration, unless one as new is in force.
+    /// Adopts a whole configuration if it is newer than the one in force.
     ///
     /// # Errors
     ///
-    /// It has problems; the one in force stays.
+    /// If the configuration is invalid; the one in force stays.
     pub fn adopt_configuration(
         &self,
         identity: Identity,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Nothing newer than what is in force was published before `at`.
+    /// Records that the configuration in force was the newest at `at`.
     pub fn confirm_configuration(&self, at: BootTime) {
         self.daemon.adoption.confirm(at);
         self.daemon
@@ -75,12 +75,12 @@
             .record_configuration(MonoioClock.boot_time());
     }
 
-    /// Takes over a list of targets.
+    /// Replaces the list of targets.
     pub fn update_listing(&self, listing: Listing) {
         live_list::apply_listing(&self.daemon, listing);
     }
 
-    /// The list of targets was the newest at `at`.
+    /// Records that the list of targets was current at `at`.
     pub fn confirm_listing(&self, at: BootTime) {
         self.daemon.live_list.confirm(at);
         self.daemon
--- a/crates/lilaccrankd/src/daemon.rs
+++ b/crates/lilaccrankd/src/daemon.rs
@@ -1,4 +1,4 @@
-//! One daemon: what all its tasks share.
+//! State that all tasks of one daemon share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -43,88 +43,88 @@
 use crate::targets::forward::Bounds;
 use crate::targets::live_list::LiveList;
 
-/// The platform's store behind a circuit and a budget of retries, so that a data centre that was
-/// cut off comes back without a stampede.
+/// The platform's store behind a circuit breaker and a retry budget, so that a data centre that
+/// reconnects does not overload it.
 pub type PlatformStore = GuardedStore<StoreClient, MonoioClock>;
-/// Result of a look at the daemon's state.
+/// Result of an operation on the daemon's state.
 pub type Result<T, E = Refusal> = std::result::Result<T, E>;
 
-/// Seconds' worth of claims in the store that may be written at once after a quiet time, such as
-/// at the hour.
+/// Burst of claims that may be written to the store after an idle time, in seconds of the
+/// sustained rate. Requests cluster, for example at the full hour.
 const STORE_CLAIMS_BURST: f64 = 10.0;
-/// Part of the lease that is left for the way from the check to the target.
+/// Part of the lease reserved for the time from the check until the request reaches the target.
 const LEASE_MARGIN: Duration = Duration::from_millis(250);
-/// Longest time for a keeper to tell about a key.
+/// Timeout of a query to the keeper of a key.
 const KEEPER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the tasks of a daemon share.
+/// Shared state of a daemon's tasks.
 pub struct Daemon {
-    /// The configuration as it comes from the store or from peers.
+    /// The adopted configuration, from the store or from peers.
     pub adoption: Adoption,
-    /// Crashes and rate limits that all daemons observe.
+    /// Crash and rate limit advisories shared between daemons.
     pub advisories: SharedAdvisories,
-    /// Answers of keyed requests.
+    /// Answers of keyed requests, for callers that repeat a key.
     pub answer_cache: AnswerCache,
-    /// Settings.
+    /// The daemon's settings.
     pub cfg: Settings,
-    /// Request keys.
+    /// Claims on request keys.
     pub claims: KeyClaims,
-    /// Connections to targets.
+    /// HTTP client for requests to targets.
     pub client: Client,
-    /// Ends what is in progress when the daemon can't wait for it.
+    /// Aborts requests still in progress at the end of a shutdown.
     pub abort_signal: AbortSignal,
-    /// Who dispatches which pool.
+    /// Assigns pools and watches to members.
     pub duties: Duties,
     in_force: RefCell<Option<Rc<InForce>>>,
     in_progress: Cell<usize>,
     incarnation: Incarnation,
-    /// Records of the keys that this daemon keeps.
+    /// Records of the request keys that this daemon keeps.
     pub keeper: Keeper<MonoioClock, PeerNetwork, Duties>,
     keys_settled: Cell<bool>,
-    /// Set at the first signal: the balancer is to send callers elsewhere.
+    /// Set at the start of a shutdown; makes the readiness check fail.
     pub leaving: Cell<bool>,
-    /// Counters.
+    /// Prometheus metrics.
     pub metrics: Metrics,
-    /// What callers may send in a head.
+    /// Limits on request heads of callers.
     pub head_limits: Rc<Cell<HeadLimits>>,
-    /// When the platform was last heard.
+    /// Last contact with the platform.
     pub platform_contact: PlatformContact,
-    /// What the daemons have on targets.
+    /// Load that the daemons report to each other.
     pub load_exchange: LoadExchange,
     /// The platform's list of targets.
     pub live_list: LiveList,
-    /// Members of this data centre.
+    /// Membership of this data centre.
     pub membership: Membership,
-    /// Orders to targets.
+    /// Orders to targets and their leases.
     pub order_manager: OrderManager,
-    /// Other daemons.
+    /// Network to the other daemons.
     pub peers: PeerNetwork,
-    /// The platform beside its store.
+    /// Unguarded client of the platform.
     pub platform: StoreClient,
-    /// What is spoken with callers, targets and the platform.
+    /// Adapters for callers, targets and the platform.
     pub ports: Ports,
-    /// Requests at the dispatchers.
+    /// Client of the dispatchers.
     pub pool_client: PoolClient,
     /// Dispatchers that run here.
     pub pool_server: PoolServer,
-    /// Connections to targets for their reports, which are counted as control.
+    /// HTTP client for target reports, whose traffic is counted as control traffic.
     pub report_client: Client,
-    /// What customers may still spend.
+    /// Remaining quotas of customers.
     pub quotas: Quotas,
-    /// Set once nothing new is taken.
+    /// Set once new requests are refused.
     pub refusing: Cell<bool>,
     requests: Cell<u64>,
-    /// Second sends of requests.
+    /// Retry budgets per pool.
     pub retry_budgets: PoolRetryBudgets,
     /// The platform's store.
     pub store: PlatformStore,
-    /// Events.
+    /// Timeline of events.
     pub timeline: Timeline<MonoioClock>,
-    /// What control costs.
+    /// Counters of control traffic.
     pub traffic: Rc<Traffic>,
 }
 
-/// Counts one request in progress until it is dropped.
+/// Guard that counts one request in progress until it is dropped.
 pub struct InProgress(Rc<Daemon>);
 
 impl Drop for InProgress {
@@ -135,7 +135,7 @@
 }
 
 impl Daemon {
-    /// A daemon that runs nothing yet.
+    /// Creates a daemon; no task runs yet.
     ///
     /// # Errors
     ///
@@ -210,7 +210,7 @@
         })
     }
 
-    /// This daemon as a member of its data centre.
+    /// Returns this daemon's membership record.
     #[must_use]
     pub fn member(cfg: &Settings, incarnation: Incarnation) -> Member {
         Member {
@@ -224,17 +224,17 @@
         }
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::NotReady`] before the first one.
+    /// [`ErrorKind::NotReady`] before the first configuration is adopted.
     pub fn in_force(&self) -> Result<Rc<InForce>> {
         let in_force = self.in_force.borrow().clone();
         in_force.ok_or_else(|| Refusal::new(ErrorKind::NotReady, "no configuration yet"))
     }
 
-    /// A target of a pool, by configuration or by the platform's list.
+    /// Finds a target of a pool in the configuration or the platform's list.
     #[must_use]
     pub fn target(&self, pool: &str, life: &TargetInstance) -> Option<Target> {
         let in_force = self.in_force().ok()?;
@@ -245,7 +245,7 @@
             .or_else(|| self.live_list.find(pool, life))
     }
 
-    /// Tokens in one event of a stream of this pool's targets.
+    /// Returns the tokens per stream event of this pool's targets, at least 1.
     #[must_use]
     pub fn tokens_in_event(&self, pool: &str) -> u32 {
         let in_force = self.in_force().ok();
@@ -253,12 +253,12 @@
         pool.map_or(1, |pool| pool.tokens_in_event.max(1))
     }
 
-    /// Whether the configuration may still be acted on, see
+    /// Checks that the lease of the configuration has not expired, see
     /// [`Settings::configuration_lease_ms`].
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::NotReady`] once the lease has run out.
+    /// [`ErrorKind::NotReady`] once the lease has expired.
     pub fn check_lease(&self) -> Result<()> {
         let lease = Duration::from_millis(self.cfg.configuration_lease_ms);
         let age = self.adoption.age(MonoioClock.boot_time());
@@ -269,9 +269,8 @@
         Err(Refusal::new(ErrorKind::NotReady, message))
     }
 
-    /// Whether this daemon has been able to tell about request keys since it started. Later
-    /// changes of the members unsettle them for moments, which is no reason to leave the
-    /// balancer.
+    /// Returns `true` once the records of request keys have been settled since the start. Later
+    /// membership changes unsettle them briefly; readiness ignores that.
     pub fn keys_settled(&self) -> bool {
         if !self.cfg.request_keys {
             return true;
@@ -281,16 +280,16 @@
         settled
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.get()
     }
 
-    /// Counts a request in, within the bound on memory.
+    /// Admits a request unless the limit of requests in progress, which bounds memory, is reached.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::Overloaded`] over the bound.
+    /// [`ErrorKind::Overloaded`] at the limit.
     pub fn admit(self: &Rc<Self>) -> Result<InProgress> {
         if self.in_progress.get() >= self.cfg.request_limit {
             let message = "this daemon has as many requests as it can hold";
@@ -301,12 +300,12 @@
         Ok(InProgress(Rc::clone(self)))
     }
 
-    /// Notes an event on the time line.
+    /// Records an event on the timeline.
     pub fn record(&self, kind: EventKind, subject: Subject) {
         self.timeline.record(kind, subject);
     }
 
-    /// How long targets may be silent.
+    /// Returns the timeouts for the first and the following tokens of a target.
     pub fn silence_timeouts(&self) -> SilenceTimeouts {
         SilenceTimeouts {
             first: Duration::from_millis(self.cfg.first_token_ms),
@@ -314,7 +313,7 @@
         }
     }
 
-    /// Bounds of answers that are passed on.
+    /// Returns the size limit and timeouts of forwarded answers.
     pub fn bounds(&self) -> Bounds {
         let silence = Duration::from_millis(self.cfg.first_token_ms);
         Bounds {
@@ -325,7 +324,7 @@
         }
     }
 
-    /// What rules match on beside the request.
+    /// Returns the inputs of rules that don't come from the request.
     pub fn environment(&self) -> Environment {
         Environment {
             draw: rand::random(),
@@ -334,14 +333,14 @@
         }
     }
 
-    /// An id that no other request has: the vm, its life, and a count.
+    /// Returns a unique request id of VM, incarnation and counter.
     pub fn next_request_id(&self) -> RequestId {
         let n = self.requests.get() + 1;
         self.requests.set(n);
         format!("{}-{:x}-{n}", self.cfg.vm, self.incarnation)
     }
 
-    /// Puts an adopted configuration in force.
+    /// Puts an adopted configuration in force and notifies the tasks that depend on it.
     pub fn put_in_force(self: &Rc<Self>, configuration: &Configuration) {
         let in_force = InForce::new(configuration);
         let generation = in_force.identity.generation;
@@ -372,7 +371,7 @@
     })
 }
 
-/// Hour of the day in UTC.
+/// Returns the hour of the day in UTC.
 fn hour(now: SystemTime) -> u8 {
     time::OffsetDateTime::from(now).hour()
 }
--- a/crates/lilaccrankd/src/json_logger.rs
+++ b/crates/lilaccrankd/src/json_logger.rs
@@ -1,11 +1,11 @@
-//! Logs as JSON lines on standard output, in simplelog's frame.
+//! Logs JSON lines to standard output.
 //!
-//! simplelog itself writes text whose messages could break a line of JSON; this is a
-//! [`SharedLogger`] beside its own, so that its levels and its combined logger still apply.
+//! simplelog's own loggers don't escape messages, which could break a line of JSON. This is a
+//! [`SharedLogger`], so that simplelog's levels and combined logger still apply.
 //!
-//! The volume is bounded twice, and what is left out is counted and told: by rate, so that a
-//! burst of requests costs no more than its share of the processor, and by a buffer before the
-//! output, so that a reader that takes nothing holds up no request.
+//! The volume is limited twice, and dropped lines are counted and reported: by a rate limit, so
+//! that logging a burst of requests can't use up the processor, and by a bounded buffer, so that a
+//! blocked reader of the output delays no request.
 
 use std::io::Write;
 use std::sync::Mutex;
@@ -21,21 +21,21 @@
 use time::OffsetDateTime;
 use time::format_description::well_known::Rfc3339;
 
-/// Lines a second. A daemon takes some fifty requests a second of four lines each.
+/// Sustained lines per second. A daemon handles about 50 requests per second with four lines each.
 const LINES_PER_S: f64 = 400.0;
-/// Lines that may come at once after a quiet time.
+/// Maximum burst of lines.
 const BURST: f64 = 2_000.0;
-/// Lines that wait for the output.
+/// Maximum number of lines buffered for the output.
 const BUFFER_LINES: usize = 4_096;
 
-/// Longest wait for the lines that are left at the end.
+/// Timeout for writing the remaining lines at exit.
 const FLUSH_LIMIT: Duration = Duration::from_millis(200);
 
-/// What the writing thread gets.
+/// Message to the writer thread.
 enum Message {
-    /// All lines before have been written once the sender is dropped.
+    /// Drops the sender once all earlier lines are written.
     Flush(SyncSender<()>),
-    /// A line.
+    /// A line to write.
     Line(String),
 }
 
@@ -48,13 +48,13 @@
     vm: String,
 }
 
-/// A bucket of lines.
+/// Token bucket that limits the rate of lines.
 struct TokenBucket {
     refilled: Instant,
     tokens: f64,
 }
 
-/// Starts logging for the daemon on `vm`.
+/// Installs the logger of the daemon on `vm`.
 pub fn init(level: LevelFilter, vm: &str) {
     let (tx, rx) = mpsc::sync_channel(BUFFER_LINES);
     thread::spawn(move || write_lines(&rx));
@@ -72,7 +72,7 @@
     let _ = CombinedLogger::init(vec![Box::new(logger)]);
 }
 
-/// Writes what has gathered in one go; ends with the process.
+/// Writes buffered lines in batches until the process ends.
 fn write_lines(messages: &Receiver<Message>) {
     while let Ok(first) = messages.recv() {
         let mut text = String::new();
@@ -83,7 +83,7 @@
                 Message::Line(line) => text.push_str(&line),
             }
         }
-        // There is no other place to tell that the output is gone.
+        // There is no other place to report a failed write.
         let _ = std::io::stdout().lock().write_all(text.as_bytes());
     }
 }
@@ -102,7 +102,8 @@
 }
 
 impl JsonLogger {
-    /// Errors and warnings are few and always pass.
+    /// Returns `true` if the rate limit allows a line. Errors and warnings are rare and always
+    /// allowed.
     fn may_write(&self, level: Level) -> bool {
         let bucket = self.bucket.lock();
         let allowed = bucket.is_ok_and(|mut bucket| bucket.try_take(Instant::now()));
@@ -121,7 +122,7 @@
         if dropped > 0 {
             fields.add("lines_left_out", dropped.into());
         }
-        // A value that can't be shown costs its own field only.
+        // A value that can't be formatted loses only its own field.
         let _ = record.key_values().visit(&mut fields);
         let mut line = serde_json::Value::Object(fields.0).to_string();
         line.push('\n');
@@ -175,7 +176,7 @@
     fn flush(&self) {
         let (tx, rx) = mpsc::sync_channel(0);
         if self.lines.try_send(Message::Flush(tx)).is_ok() {
-            // The thread drops its end once all is written, or the wait is over.
+            // The thread drops the sender once all lines are written.
             let _ = rx.recv_timeout(FLUSH_LIMIT);
         }
     }
--- a/crates/lilaccrankd/src/lib.rs
+++ b/crates/lilaccrankd/src/lib.rs
@@ -1,4 +1,4 @@
-//! The daemon of lilaccrank: takes requests, dispatches them to targets, answers callers.
+//! The lilaccrank daemon: accepts requests, dispatches them to targets and answers callers.
 
 pub mod admin;
 pub mod args;
--- a/crates/lilaccrankd/src/main.rs
+++ b/crates/lilaccrankd/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon as a program.
+//! Binary of the daemon, with the native adapters.
 
 use std::process::ExitCode;
 
--- a/crates/lilaccrankd/src/objects.rs
+++ b/crates/lilaccrankd/src/objects.rs
@@ -1,4 +1,4 @@
-//! The port to small objects in the platform's store that all daemons share.
+//! Port for small shared objects in the platform's store.
 
 use std::rc::Rc;
 
@@ -9,7 +9,7 @@
 
 use crate::daemon::Daemon;
 
-/// Reads and writes objects; each holds JSON.
+/// Reads and writes shared JSON objects.
 pub trait Objects {
     /// Reads an object; `None` if it does not exist.
     fn read(
@@ -18,7 +18,7 @@
         key: &'static str,
     ) -> LocalBoxFuture<'static, Result<Option<Versioned>>>;
 
-    /// Writes an object if `expect` holds.
+    /// Writes an object if its current state satisfies `expect`.
     fn write(
         &self,
         daemon: &Rc<Daemon>,
@@ -28,7 +28,7 @@
     ) -> LocalBoxFuture<'static, Result<()>>;
 }
 
-/// The product's own objects.
+/// Objects kept directly in the platform's store.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeObjects;
 
--- a/crates/lilaccrankd/src/ports.rs
+++ b/crates/lilaccrankd/src/ports.rs
@@ -1,5 +1,4 @@
-//! What a daemon speaks with the world around it. Each port has the product's own adapter, and may
-//! have others.
+//! Ports of the daemon to its environment. Each has a native adapter and may have others.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -16,22 +15,22 @@
 /// The adapters of one daemon.
 #[derive(Clone)]
 pub struct Ports {
-    /// What callers speak.
+    /// Protocol of callers.
     pub callers: Rc<dyn CallerProtocol>,
-    /// Objects that all daemons share.
+    /// Small objects that all daemons share.
     pub objects: Rc<dyn Objects>,
-    /// How the settings file is read.
+    /// Reads the settings file.
     pub settings: fn(&Path) -> settings::Result<Settings>,
-    /// The settings file, if there is one.
+    /// Path of the settings file, if any.
     pub settings_file: Option<PathBuf>,
-    /// Where configurations and the list of targets come from.
+    /// Source of configurations and of the list of targets.
     pub source: Rc<dyn Source>,
-    /// What targets to which requests are passed on speak.
+    /// Protocol of targets that requests are forwarded to.
     pub targets: Rc<dyn TargetProtocol>,
 }
 
 impl Default for Ports {
-    /// The product's own.
+    /// The native adapters.
     fn default() -> Self {
         Self {
             callers: Rc::new(NativeProtocol),
--- a/crates/lilaccrankd/src/reload.rs
+++ b/crates/lilaccrankd/src/reload.rs
@@ -1,7 +1,6 @@
-//! Reads the settings again, at SIGHUP and from time to time, as a file may change without a signal.
+//! Reloads the settings file on SIGHUP and periodically, as the file may change without a signal.
 //!
-//! Addresses and the name of the vm need a restart. What is taken over while the daemon runs is
-//! where to look for members.
+//! Only the gossip seeds change while the daemon runs; addresses and the VM's name need a restart.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,11 +11,11 @@
 use crate::daemon::Daemon;
 use crate::signals::Signals;
 
-/// Time between two looks at the file. What may change in it concerns daemons that come and go,
-/// which members tell each other within seconds anyway.
+/// Interval between two reads of the file. New seeds are not urgent: gossip spreads membership
+/// changes within seconds anyway.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Follows the settings file for as long as the daemon runs.
+/// Reloads the settings for as long as the daemon runs.
 pub async fn run(daemon: Rc<Daemon>, signals: Signals) {
     let mut seeds = daemon.cfg.seeds.clone();
     let mut reloads = 0;
@@ -42,7 +41,7 @@
             }
             Ok(_) if by_signal => log::info!(by_signal = true; "reloaded: nothing changed"),
             Ok(_) => {}
-            Err(e) => log::warn!("the settings can't be read again, the old ones stay: {e}"),
+            Err(e) => log::warn!("failed to reload the settings, keeping the old ones: {e}"),
         }
     }
 }
--- a/crates/lilaccrankd/src/serve.rs
+++ b/crates/lilaccrankd/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon's tasks and runs them until it is told to end.
+//! Starts the daemon's listeners and tasks, and runs them until shutdown.
 
 use std::future;
 use std::io;
@@ -40,35 +40,35 @@
 /// Result of running the daemon.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// How often what is over its time is dropped.
+/// Interval at which expired answers and claims are removed.
 const EXPIRE_EVERY: Duration = Duration::from_secs(1);
-/// How often the keeper looks for pauses and for keys that are over their time.
+/// Interval at which the keeper checks for pauses of the process and for expired keys.
 const KEEPER_TICK: Duration = Duration::from_millis(100);
 
 /// Why the daemon can't run.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// An address can't be listened on.
+    /// An address can't be bound.
     #[error("can't listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The metrics can't be registered.
     #[error("metrics: {0}")]
     Metrics(#[from] prometheus::Error),
-    /// The runtime or the signal handlers can't be made.
+    /// The runtime or the signal handlers can't be created.
     #[error("the system refused: {0}")]
     System(#[from] io::Error),
 }
 
-/// Runs a daemon until it is told to end.
+/// Runs a daemon until it shuts down.
 ///
 /// # Errors
 ///
-/// If it can't start.
+/// If the daemon can't start.
 pub fn run(cfg: Settings, ports: Ports) -> Result<()> {
     let signals = Signals::register()?;
     runtime::block_on(serve(cfg, ports, signals))?
@@ -156,13 +156,13 @@
     monoio::spawn(async move { claims.sweep_every(EXPIRE_EVERY).await });
 }
 
-/// Takes over and hands over duties as members come and go.
+/// Updates pools, retry budgets and orders on each membership change.
 async fn follow_members(daemon: Rc<Daemon>) {
     let mut seen = 0;
     loop {
         seen = daemon.membership.changed(seen).await;
         log::info!(
-            "members now: {}, this life: {}",
+            "membership changed: {} members, this daemon is {}",
             daemon.membership.live().members.len(),
             daemon.duties.me(),
         );
@@ -209,7 +209,8 @@
     server::bind(address).map_err(|source| Error::Listen { address, source })
 }
 
-/// Each life of a vm starts later than the one before.
+/// Returns the start time in milliseconds since the Unix epoch, so that a restarted VM has a higher
+/// incarnation.
 fn incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| {
--- a/crates/lilaccrankd/src/settings.rs
+++ b/crates/lilaccrankd/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: where it runs, where it listens, and its bounds.
+//! Settings of the daemon: identity, addresses, limits and timeouts.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 /// Why the settings can't be used.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The file is not of the format that is read.
+    /// The file has a format that can't be parsed.
     #[error("{path}: {message}")]
     Format {
         /// What is wrong, and where.
@@ -24,12 +24,12 @@
         /// The file.
         path: PathBuf,
     },
-    /// A value makes no sense.
+    /// A value is invalid.
     #[error("{field} is {value}: {hint}")]
     Invalid {
         /// Name of the setting.
         field: &'static str,
-        /// What would do.
+        /// Describes a valid value.
         hint: &'static str,
         /// The value found.
         value: String,
@@ -47,7 +47,7 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
@@ -56,85 +56,84 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Settings {
-    /// Where operators and metrics are served.
+    /// Listen address for operators and metrics.
     pub admin: SocketAddr,
-    /// Bytes of ended answers kept for callers that repeat a key.
+    /// Maximum size of the cache of finished answers, in bytes.
     pub answer_cache_bytes: usize,
-    /// Largest answer in bytes; a longer one is broken off.
+    /// Maximum size of an answer in bytes; a longer one is aborted.
     pub answer_limit: usize,
-    /// Milliseconds for which an ended answer is kept for callers that repeat its key.
+    /// Milliseconds for which a finished answer is cached for callers that repeat its key.
     pub answer_ttl_ms: u64,
-    /// Milliseconds without a token after which a stream is taken up on a new connection.
+    /// Milliseconds without a token after which a stream is resumed on a new connection.
     pub between_tokens_ms: u64,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_limit: usize,
-    /// Milliseconds for a caller to send its body, and to take a part of its answer.
+    /// Milliseconds for a caller to send its body, and to read a part of its answer.
     pub body_timeout_ms: u64,
-    /// Where callers are served.
+    /// Listen address for callers.
     pub callers: SocketAddr,
-    /// Milliseconds for which a configuration is acted on without a proof that no newer one was
-    /// published; 0 for ever. It bounds the time in which a key that was taken away still works
-    /// at a daemon that is cut off.
+    /// Milliseconds for which a configuration is used without confirmation that it is the newest;
+    /// 0 for no limit. It bounds how long a revoked key still works at a daemon that is cut off.
     pub configuration_lease_ms: u64,
     /// Name of the data centre.
     pub data_centre: DataCentre,
     /// Which daemon grants targets to the requests of a pool.
     pub dispatch: Dispatch,
-    /// Milliseconds between two questions to a watcher whether something has changed.
+    /// Mean milliseconds between two polls of a watcher for changes.
     pub feed_ms: u64,
-    /// Milliseconds until the first token.
+    /// Timeout for the first token, in milliseconds.
     pub first_token_ms: u64,
-    /// Where heartbeats are exchanged (UDP).
+    /// Listen address for gossip (UDP).
     pub gossip: SocketAddr,
-    /// Milliseconds a keyed request runs on after its last caller has gone.
+    /// Milliseconds for which a keyed request continues after its last caller disconnected.
     pub grace_ms: u64,
     /// `error`, `warn`, `info`, `debug` or `trace`.
     pub log_level: log::LevelFilter,
-    /// Data centres that act as one with this one: their daemons are members, their targets are
-    /// as good as those here.
+    /// Data centres that form one group with this one: their daemons are members, and their targets
+    /// are used like local ones.
     pub neighbours: Vec<DataCentre>,
-    /// Milliseconds from the start of an order to a target until it can no longer reach it.
+    /// Milliseconds after which an order that was sent can no longer reach its target.
     pub order_in_flight_ms: u64,
-    /// Milliseconds for which the lease for orders is held without being renewed.
+    /// Duration of the lease for orders in milliseconds, without renewal.
     pub order_lease_ms: u64,
-    /// Daemons in other data centres, for spilled requests and for configurations.
+    /// Daemons in other data centres, for spilled requests and for newer configurations.
     pub other_data_centres: IndexMap<DataCentre, Vec<OtherDaemon>>,
-    /// Where other daemons are served.
+    /// Listen address for other daemons.
     pub peer: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub platform: SocketAddr,
-    /// Units of a quota (requests or tokens) beyond its burst that all daemons together may let pass
-    /// at once. Parts of a quota are small where daemons are many, and requests come in clumps.
+    /// Units of a quota (requests or tokens) that all daemons together may admit at once beyond its
+    /// burst. With many daemons each has a small share of a quota, and requests come in bursts.
     pub quota_reserve: f64,
-    /// Where `GET` tells a balancer whether to send callers here, beside the admin address.
+    /// Additional listen address of the readiness check for load balancers.
     pub readiness: Option<SocketAddr>,
-    /// Whether callers may name their requests, so that a repeat reads the same answer.
+    /// Enables request keys, with which a repeated request gets the answer of the first.
     pub request_keys: bool,
-    /// Requests in progress at once; more are refused.
+    /// Maximum number of requests in progress; more are refused.
     pub request_limit: usize,
-    /// Second sends of requests over all daemons.
+    /// Retry budget of each pool over all daemons.
     pub retries: Retries,
-    /// Gossip addresses to join by.
+    /// Gossip addresses of the members to join through.
     pub seeds: Vec<SocketAddr>,
-    /// Milliseconds a graceful shutdown may take before what is left is cut.
+    /// Milliseconds after which a graceful shutdown aborts the remaining requests.
     pub shutdown_limit_ms: u64,
-    /// Milliseconds of a graceful shutdown in which callers that still come are served, as long
-    /// as the balancer takes to send them elsewhere.
+    /// Milliseconds at the start of a graceful shutdown in which new requests are still served. Set
+    /// it to the time that the load balancer needs to send callers elsewhere.
     pub shutdown_serving_ms: u64,
-    /// Non-idempotent claims that this daemon may write to the store each second, ten times as
-    /// many at once after a quiet time. All daemons together share the store's writes.
+    /// Non-idempotent claims that this daemon may write to the store per second, with bursts of ten
+    /// times as many. The limit exists because all daemons share the store's write capacity.
     pub store_claims_per_s: u32,
-    /// Events kept for the time line.
+    /// Maximum number of events kept for the timeline.
     pub timeline_events: usize,
-    /// Milliseconds for a connection to a target.
+    /// Timeout for connecting to a target, in milliseconds.
     pub target_connect_ms: u64,
-    /// Milliseconds since its last answer within which a connection to a target carries a request
-    /// that is not sent again if it fails; 0 if each such request has a connection of its own.
+    /// Maximum idle time in milliseconds of a connection that is reused for a request that must not
+    /// be retried; 0 to open a new connection for each such request.
     pub unrepeatable_rest_ms: u64,
-    /// Name of the vm.
+    /// Name of the VM.
     pub vm: VmId,
-    /// Daemons that watch the platform's store; the others hear from them. A second one, so that
-    /// the death of one costs no time.
+    /// Number of daemons that watch the platform's store and pass changes on to the others. With
+    /// two, the failure of one causes no delay.
     pub watchers: usize,
 }
 
@@ -142,28 +141,28 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Dispatch {
-    /// Each entry by itself; the daemons tell each other what they have sent.
+    /// Each daemon for its own requests; the daemons report their load to each other.
     Each,
     /// One daemon for each pool, found by rendezvous hashing.
     #[default]
     OneForEachPool,
 }
 
-/// Second sends of requests to the targets of one pool, over all daemons.
+/// Retry budget of one pool, over all daemons.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Retries {
-    /// Parts of the reserve at least; where there are more members, it is divided by them.
+    /// Minimum number of parts of the reserve; with more members, there is one part for each.
     pub daemons: u32,
-    /// Second sends that all daemons together may save up.
+    /// Maximum number of retries that all daemons together may accumulate.
     pub reserve: f64,
-    /// Second sends for each first one.
+    /// Retries allowed per first attempt.
     pub share: f64,
 }
 
 impl Default for Retries {
-    /// A tenth more load can't hold down a pool that comes back; the reserve lets rare requests
-    /// be repeated too.
+    /// 10% of additional load does not keep a recovering pool down; the reserve allows retries in
+    /// pools with few requests too.
     fn default() -> Self {
         Self {
             daemons: 10,
@@ -177,9 +176,9 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct OtherDaemon {
-    /// Where it serves callers.
+    /// Address at which it serves callers.
     pub callers: SocketAddr,
-    /// Where it serves other daemons.
+    /// Address at which it serves other daemons.
     pub peer: SocketAddr,
 }
 
@@ -228,11 +227,11 @@
 }
 
 impl Settings {
-    /// Reads a file; what it does not name keeps its default.
+    /// Reads a JSON file; missing fields keep their defaults.
     ///
     /// # Errors
     ///
-    /// If it can't be read or is not JSON of this shape.
+    /// If the file can't be read, is not valid JSON or has an unknown field.
     pub fn read(path: &Path) -> Result<Self> {
         let text = fs::read_to_string(path).map_err(|source| Error::Read {
             path: path.to_owned(),
@@ -244,32 +243,32 @@
         })
     }
 
-    /// Peer addresses in other data centres.
+    /// Returns the peer addresses of the daemons in other data centres.
     #[must_use]
     pub fn other_peers(&self) -> Rc<[SocketAddr]> {
         let others = self.other_data_centres.values().flatten();
         others.map(|daemon| daemon.peer).collect()
     }
 
-    /// Whether a data centre is this one, or acts as one with it.
+    /// Returns `true` if `data_centre` is this one or a neighbour.
     #[must_use]
     pub fn is_near(&self, data_centre: &str) -> bool {
         let mut near = std::iter::once(&self.data_centre).chain(&self.neighbours);
         near.any(|near| near == data_centre)
     }
 
-    /// Name of the data centres that act as one: the first by name.
+    /// Returns the name of the group of data centres, which is the first of their names.
     #[must_use]
     pub fn group(&self) -> &DataCentre {
         let near = std::iter::once(&self.data_centre).chain(&self.neighbours);
         near.min().unwrap_or(&self.data_centre)
     }
 
-    /// Checks what the types can't.
+    /// Validates values that the types don't constrain.
     ///
     /// # Errors
     ///
-    /// The first value that makes no sense.
+    /// The first invalid value.
     pub fn check(&self) -> Result<()> {
         let positive = [
             ("answer_limit", self.answer_limit as u64),
--- a/crates/lilaccrankd/src/shutdown.rs
+++ b/crates/lilaccrankd/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A graceful end: nothing new is taken, nothing in progress is cut.
+//! Graceful shutdown: refuses new requests and lets those in progress finish.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 use crate::daemon::Daemon;
 use crate::signals::Signals;
 
-/// How often a shutdown looks whether it is done.
+/// Interval at which a shutdown checks for remaining requests and connections.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest time to tell callers that their requests are cut.
+/// Time to tell callers that their requests are aborted.
 const ABORT_GRACE: Duration = Duration::from_secs(2);
 
-/// Takes nothing new and waits for what is in progress, within the limit or until a second
-/// signal comes. The servers are closed one after the other, the one for callers first.
+/// Refuses new requests and waits for those in progress, until the time limit or a second signal.
+/// The servers are closed one after the other, the one for callers first.
 pub async fn run(daemon: &Daemon, servers: [&Closing; 2], signals: &Signals) {
     daemon.leaving.set(true);
     let serving = Duration::from_millis(daemon.cfg.shutdown_serving_ms);
     daemon.refusing.set(serving.is_zero());
     log::info!("leaving with {} requests in progress", daemon.in_progress());
     daemon.membership.leave().await;
-    // Callers come until the balancer has noticed, and on open connections: turned away, they
-    // would lose time for nothing.
+    // Callers keep arriving until the load balancer notices, and on open connections. Refusing
+    // them would only delay them.
     servers[0].wind_down();
     monoio::time::sleep(serving).await;
     daemon.refusing.set(true);
@@ -38,16 +38,18 @@
             log::info!("ended with nothing cut");
         }
         Either::Right((_, done)) => {
-            log::warn!("cutting {} requests", daemon.in_progress());
+            log::warn!("aborting {} requests", daemon.in_progress());
             daemon.abort_signal.trigger();
-            // Their callers are told whether they ran, which a broken connection would not say.
+            // Callers learn whether their requests ran; a closed connection would not say so.
             let _ = monoio::time::timeout(ABORT_GRACE, done).await;
         }
     }
 }
 
-/// Other daemons read held answers from the admin server for callers that repeated a key there.
-/// Ending while one is on its way would cut it at a caller that saw nothing of this shutdown.
+/// Waits for requests in progress, then for the connections of both servers.
+///
+/// Other daemons read answers from the admin server for callers that repeated a key there. Ending
+/// during such a read would break the answer of a caller that is not affected by this shutdown.
 async fn drain(daemon: &Daemon, servers: [&Closing; 2]) {
     while daemon.in_progress() > 0 {
         monoio::time::sleep(POLL_INTERVAL).await;
@@ -60,6 +62,7 @@
     }
 }
 
+/// Completes at the shutdown's time limit or a second signal.
 async fn until_abort(daemon: &Daemon, signals: &Signals) {
     let timed_out = monoio::time::sleep(Duration::from_millis(daemon.cfg.shutdown_limit_ms));
     let second_signal = signals.wait_for_count(2);
--- a/crates/lilaccrankd/src/signals.rs
+++ b/crates/lilaccrankd/src/signals.rs
@@ -1,6 +1,6 @@
-//! SIGTERM and SIGINT, and an operator's order: the first of them asks for a graceful end, a
-//! second signal for an immediate one. SIGHUP asks to read the settings again; left alone it
-//! would end the process and cut every request.
+//! Shutdown and reload requests. The first SIGTERM or SIGINT, or an operator's request, starts a
+//! graceful shutdown; a second signal ends it at once. SIGHUP reloads the settings: its default
+//! action would end the process and break every request.
 
 use std::io;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator;
 
-/// Counts the signals received.
+/// Counters of received signals, shared between the signal thread and tasks.
 #[derive(Clone)]
 pub struct Signals {
     shared: Arc<Shared>,
@@ -26,11 +26,11 @@
 }
 
 impl Signals {
-    /// Starts counting, on a thread that sleeps until a signal comes.
+    /// Registers the handlers and starts the thread that counts signals.
     ///
     /// # Errors
     ///
-    /// If the system refuses the handlers.
+    /// If the handlers can't be registered.
     pub fn register() -> io::Result<Self> {
         let shared = Arc::new(Shared::default());
         let mut signals = iterator::Signals::new([SIGHUP, SIGINT, SIGTERM])?;
@@ -48,25 +48,24 @@
         Ok(Self { shared })
     }
 
-    /// Asks for a graceful end as an operator does.
+    /// Requests a graceful shutdown on behalf of an operator.
     ///
-    /// It is no signal: an operator drains a daemon before its vm is replaced, and the
-    /// platform's customary SIGTERM that follows would otherwise be the second one and cut the
+    /// This does not count as a signal: an operator drains a daemon before its VM is replaced, and
+    /// the platform's SIGTERM that follows would otherwise be the second signal and abort the
     /// requests in progress.
     pub fn request_shutdown(&self) {
         self.shared.shutdown_requested.store(true, Ordering::SeqCst);
         self.shared.changed.notify(usize::MAX);
     }
 
-    /// Completes once a graceful end is asked for.
+    /// Completes once a graceful shutdown is requested.
     pub async fn wait_for_shutdown(&self) {
         let shared = &self.shared;
         self.wait_until(|| shared.shutdown_requested.load(Ordering::SeqCst) || shared.count() > 0)
             .await;
     }
 
-    /// Completes once there were more requests to read the settings again than `seen`; returns
-    /// how many there were.
+    /// Completes once more than `seen` reloads were requested; returns their number.
     pub async fn wait_for_reload(&self, seen: usize) -> usize {
         let shared = &self.shared;
         let reloads = || shared.reloads.load(Ordering::SeqCst);
@@ -74,7 +73,7 @@
         reloads()
     }
 
-    /// Completes once `n` signals have come.
+    /// Completes once `n` termination signals were received.
     pub async fn wait_for_count(&self, n: usize) {
         self.wait_until(|| self.shared.count() >= n).await;
     }
--- a/crates/lilaccrankd/tests/suite.rs
+++ b/crates/lilaccrankd/tests/suite.rs
@@ -1,5 +1,4 @@
-//! Tests of the daemon's parts that need no process; a folder beside this file holds them by
-//! subject.
+//! Tests of parts of the daemon that need no running process.
 
 #[path = "suite/changes.rs"]
 mod changes;
--- a/crates/lilaccrankd/tests/suite/changes.rs
+++ b/crates/lilaccrankd/tests/suite/changes.rs
@@ -1,10 +1,10 @@
-//! Changes that are noted while nobody listens.
+//! Change notifications that arrive while no task waits for them.
 
 use futures::FutureExt;
 use lilaccrankd::peers::change_signal::ChangeSignal;
 
-// A request ends while the daemon is busy telling its load. The others hear of the free slot at once:
-// the change is kept for the next look, and any number of them is told once.
+// A request ends while the daemon is sending its load. The notification must not be lost, or the
+// other daemons learn late of the free slot; several notifications are merged into one.
 #[test]
 fn a_change_without_a_listener_is_kept() {
     let changes = ChangeSignal::default();
--- a/crates/lilaccrankd/tests/suite/platform_contact.rs
+++ b/crates/lilaccrankd/tests/suite/platform_contact.rs
@@ -1,4 +1,4 @@
-//! When the platform was last heard.
+//! Age of the last contact with the platform.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
     Duration::from_secs(seconds)
 }
 
-// A daemon hears of configurations, and nothing of targets: half of the platform is silent, which
-// counts as silence.
+// A contact about configurations must not hide that the list of targets is stale, so the older of
+// the two counts.
 #[test]
 fn the_older_contact_counts() {
     let contact = PlatformContact::default();
@@ -21,7 +21,7 @@
     assert_eq!(contact.list_age(at(10)), Some(at(6)));
 }
 
-// A peer tells of times before the daemon's own last word; nothing gets older by that.
+// A peer reports a contact before this daemon's own last one. The age must not increase.
 #[test]
 fn an_older_contact_changes_nothing() {
     let contact = PlatformContact::default();
@@ -33,8 +33,8 @@
     assert_eq!(contact.age(at(10)), Some(at(0)));
 }
 
-// What a peer told is no word of the platform to this daemon: asked by others, it must not pass
-// for one that hears the platform itself.
+// A contact that a peer reported must not count as a direct one: other daemons would take this
+// daemon for one that reaches the platform itself.
 #[test]
 fn a_contact_through_a_peer_is_not_direct() {
     let contact = PlatformContact::default();
@@ -44,8 +44,8 @@
     assert_eq!(contact.watcher_age(at(10)), Some(at(2)));
 }
 
-/// Seconds between two words about the list, seconds from then on, and whether entries may have
-/// lapsed.
+/// Takes the seconds between two contacts about the list, the seconds since the second one, and
+/// whether entries may have expired.
 macro_rules! lapse_test {
     ($name:ident, $silence:literal, $since:literal, $may:literal) => {
         #[test]
@@ -73,8 +73,8 @@
     assert!(!contact.may_lapse(at(18)));
 }
 
-// The platform turns this daemon away and tells others; it hears from these. For it nothing was
-// silent, and what is missing has gone.
+// The platform rejects this daemon but not its peers. Their reports leave no gap, so targets that
+// are missing from the list have gone.
 #[test]
 fn a_contact_through_a_peer_is_no_silence() {
     let contact = PlatformContact::default();
@@ -86,7 +86,7 @@
     assert!(!contact.may_lapse(at(18)));
 }
 
-// A daemon that has just started has not heard silence, only nothing yet.
+// A daemon without any contact since its start has no gap in which entries could have expired.
 #[test]
 fn a_start_is_no_silence() {
     let contact = PlatformContact::default();
--- a/crates/lilaccrankd/tests/suite/stale_jitter.rs
+++ b/crates/lilaccrankd/tests/suite/stale_jitter.rs
@@ -1,10 +1,10 @@
-//! How long daemons that hear nothing wait for each other before they ask the platform.
+//! Jitter before daemons without a recent contact query the platform.
 
 use std::time::Duration;
 
 use lilaccrankd::configuration;
 
-/// Time over which so many members spread their questions, in milliseconds at most.
+/// Takes the number of members and the upper bound of their jitter in milliseconds.
 macro_rules! jitter {
     ($name:ident, $members:literal, $most_ms:literal) => {
         #[test]
@@ -15,9 +15,9 @@
     };
 }
 
-// The platform turns both watchers and a third of a large fleet away, and a target says that it
-// leaves. The others ask by themselves once they have heard nothing for 1.75 seconds, spread over a
-// time that grew with the fleet; some had not heard of it after three seconds, and sent it requests.
+// The platform rejects both watchers and a third of a large fleet while a target leaves. The other
+// daemons query the platform 1.75 s after their last contact, plus jitter. When the jitter grew
+// with the fleet without a bound, some still sent requests to the target after three seconds.
 jitter!(jitter_grows_with_a_small_fleet, 7, 140);
 jitter!(jitter_is_bounded_in_a_large_fleet, 71, 400);
 jitter!(jitter_is_bounded_in_a_very_large_fleet, 700, 400);
