--- a/crates/lilaccrank/tests/suite/quota_fleet.rs
+++ b/crates/lilaccrank/tests/suite/quota_fleet.rs
@@ -43,7 +43,7 @@
     passed: Vec<(Instant, u64)>,
     rng_state: u64,
     /// For each daemon, whether it sends the demand reports of its cell.
-    is_speaker: Vec<bool>,
+    is_representative: Vec<bool>,
     step: usize,
 }
 
@@ -63,7 +63,7 @@
             now,
             passed: Vec::new(),
             rng_state: 7,
-            is_speaker: vec![false; DAEMONS],
+            is_representative: vec![false; DAEMONS],
             step: 0,
         };
         fleet.assign_cells();
@@ -80,10 +80,10 @@
             let cell = Cell::new(members, &self.names[me]);
             let live = reachable.iter().map(|at| self.names[*at].clone()).collect();
             self.daemons[me].set_cell(cell.id(), cell.peers(), &live, self.now);
-            let mates = cell.peers();
-            self.is_speaker[me] = cell.representative(&self.names[me]) == &self.names[me];
-            let is_mate = |at: &usize| mates.contains(&self.names[*at]);
-            self.cells[me] = reachable.into_iter().filter(is_mate).collect();
+            let cell_peers = cell.peers();
+            self.is_representative[me] = cell.representative(&self.names[me]) == &self.names[me];
+            let is_cell_peer = |at: &usize| cell_peers.contains(&self.names[*at]);
+            self.cells[me] = reachable.into_iter().filter(is_cell_peer).collect();
         }
     }
 
@@ -132,7 +132,7 @@
             if !(self.step + from * 31).is_multiple_of(steps_apart) {
                 continue;
             }
-            if !self.is_speaker[from] {
+            if !self.is_representative[from] {
                 continue;
             }
             let demand = self.daemons[from].cell_demand(self.now);
