--- a/crates/lilaccrankd/src/orders.rs
+++ b/crates/lilaccrankd/src/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to targets: who gives them, under which lease, and what each target was told.
+//! Orders to targets: which daemon sends them, under which lease, and what each target was told to
+//! do.
 
 pub mod drain_reconciler;
 pub mod jobs;
--- a/crates/lilaccrankd/src/orders/drain_reconciler.rs
+++ b/crates/lilaccrankd/src/orders/drain_reconciler.rs
@@ -1,9 +1,10 @@
-//! Tells the engines of a pool which of them are to drain, as the configuration and the list of
-//! vms say.
+//! Brings the engines of a pool to the drain state that the configuration and the list of leaving
+//! VMs ask for.
 //!
-//! What an engine was last told is known to nobody for sure: the daemon that told it may be gone,
-//! and so may what made it do so. So each new holder of the duty tells every engine its state
-//! once, "live" included; an engine left draining by a forgotten order would serve nobody.
+//! No daemon knows for certain what an engine was last told: the daemon that told it may be gone,
+//! and so may the reason for the order. Each new holder of the duty therefore sends every engine
+//! its state once, also if that is "live". An engine that a forgotten order left draining would
+//! serve nobody.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,16 +22,16 @@
 use crate::daemon::Daemon;
 use crate::orders::pool_orders::{PoolOrders, Term};
 
-/// A duty that moves on within this time is a sign of members still being found; what would be
-/// told then costs the store a lease each time.
+/// Delay before orders are sent in a new term. While members are still being discovered, the duty
+/// may move on within this time, and each order given until then would cost the store a lease.
 const SETTLE_DELAY: Duration = Duration::from_secs(1);
-/// Ceiling of the first wait before an order is given again.
+/// Upper bound of the first wait before a failed order is repeated.
 const BASE_BACKOFF: Duration = Duration::from_millis(500);
-/// Highest ceiling of the wait; longer than the lease lingers, so that a dead engine does not
-/// keep it held for ever.
+/// Upper bound of any wait. It is longer than the lease lingers, so that a dead engine does not
+/// keep the lease held forever.
 const MAX_BACKOFF: Duration = Duration::from_secs(120);
 
-/// What an engine was told, and in which term.
+/// The state that an engine was told to take, at which address and in which term.
 #[derive(Clone, Eq, PartialEq)]
 struct DrainState {
     address: String,
@@ -45,7 +46,7 @@
     applied: RefCell<IndexMap<TargetId, DrainState>>,
 }
 
-/// Runs for as long as the daemon does.
+/// Runs until the daemon ends.
 pub async fn run(daemon: Rc<Daemon>, pool_orders: Rc<PoolOrders>) {
     let reconciler = Rc::new(DrainReconciler {
         in_progress: RefCell::default(),
@@ -70,7 +71,8 @@
 }
 
 impl DrainReconciler {
-    /// One task for each engine, so that one that does not answer holds up no other.
+    /// Starts one task for each engine that needs an order, so that an engine that does not answer
+    /// delays no other.
     fn reconcile_all(self: &Rc<Self>) {
         let ids = self.pool_orders.target_ids();
         self.applied.borrow_mut().retain(|id, _| ids.contains(id));
@@ -94,7 +96,7 @@
         self.in_progress.borrow_mut().swap_remove(&id);
     }
 
-    /// The state that an engine has not been told yet.
+    /// Returns the state that an engine still has to be told, if any.
     fn pending(&self, id: &TargetId) -> Option<(Target, DrainState)> {
         let term = self.pool_orders.term()?;
         let target = self.pool_orders.target(id)?;
@@ -128,7 +130,7 @@
         result.is_ok()
     }
 
-    /// Waits, but not longer than until another state is wanted.
+    /// Waits before the next try, but only until another state is desired.
     async fn wait(&self, id: &TargetId, desired: &DrainState, wait: Duration) {
         let changed = async {
             loop {
--- a/crates/lilaccrankd/src/orders/jobs.rs
+++ b/crates/lilaccrankd/src/orders/jobs.rs
@@ -1,4 +1,4 @@
-//! Operators' orders that this daemon gives or has given, by their ids.
+//! Operators' orders that this daemon runs or has run, by id.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,12 +11,12 @@
 use crate::daemon::Daemon;
 use crate::orders::message::{OrderReply, OrderRequest};
 
-/// How long the outcome of an order is kept for who repeats it.
+/// How long the outcome of an order is kept for repeated requests.
 const RETENTION: Duration = Duration::from_secs(600);
-/// Orders kept at most.
+/// Maximum number of orders kept.
 const MAX_JOBS: usize = 1_000;
 
-/// Orders by id.
+/// Operators' orders by id.
 #[derive(Default)]
 pub struct OrderJobs {
     jobs: RefCell<IndexMap<String, Job>>,
@@ -30,7 +30,7 @@
 
 enum State {
     Ended(OrderOutcome),
-    /// Waits for the token.
+    /// Waits for the request that carries the token.
     AwaitingConfirmation {
         token: u64,
     },
@@ -38,7 +38,7 @@
 }
 
 impl Job {
-    /// What a request with the same id is told; `None` if it is to be tried again.
+    /// Returns the reply to a request with the same id; `None` if the order is to be tried again.
     fn reply_to(&self, req: &OrderRequest) -> Option<OrderReply> {
         let is_same_order = self.req.command == req.command && self.req.target == req.target;
         if !is_same_order {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Begins an order that is asked for with its token, or tells how it is getting on.
+/// Starts an order once its request carries the token, or replies with its present state.
 pub fn handle(daemon: &Rc<Daemon>, req: OrderRequest) -> OrderReply {
     let mut all = daemon.order_keeper.jobs.jobs.borrow_mut();
     if let Some(job) = all.get_mut(&req.id) {
--- a/crates/lilaccrankd/src/orders/manager.rs
+++ b/crates/lilaccrankd/src/orders/manager.rs
@@ -1,5 +1,5 @@
-//! The orders of this daemon: to the pools that it dispatches for, from operators and from the
-//! configuration.
+//! Manages the orders of this daemon, from operators and from the configuration, to the pools that
+//! it dispatches for.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,21 +16,21 @@
 use crate::orders::timeouts::OrderTimeouts;
 use crate::settings::Settings;
 
-/// Orders of this life of the daemon.
+/// Orders of this incarnation of the daemon.
 pub struct OrderManager {
     data_centre: String,
-    /// This life, as the store names the holder of a lease.
+    /// This VM and incarnation, as the store names the holder of a lease.
     holder: String,
-    /// Operators' orders.
+    /// Operators' orders by id.
     pub jobs: OrderJobs,
     pools: RefCell<IndexMap<PoolId, Rc<PoolOrders>>>,
     store: PlatformStore,
-    /// Times of orders.
+    /// Timeouts of orders.
     pub timeouts: OrderTimeouts,
 }
 
 impl OrderManager {
-    /// Gives no orders before [`reconcile`].
+    /// Returns a manager that gives no orders before the first [`reconcile`].
     #[must_use]
     pub fn new(cfg: &Settings, incarnation: Incarnation, store: PlatformStore) -> Self {
         Self {
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Whether this daemon gives orders to any pool.
+    /// Returns `true` if this daemon gives orders to any pool.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.pools.borrow().values().any(|it| it.is_active())
     }
 
-    /// The orders to a pool, if this daemon gives them.
+    /// Returns the orders to a pool if this daemon gives them.
     #[must_use]
     pub fn active_orders(&self, pool: &PoolId) -> Option<Rc<PoolOrders>> {
         let pools = self.pools.borrow();
@@ -63,7 +63,8 @@
     }
 }
 
-/// Takes duties on and lets them go, after a change of members, configuration or listed vms.
+/// Starts or stops giving orders to pools after a change of members, of the configuration or of the
+/// list of VMs.
 pub fn reconcile(daemon: &Rc<Daemon>) {
     let Ok(in_force) = daemon.in_force() else {
         return;
@@ -99,7 +100,8 @@
     }
 }
 
-/// Plain services take no orders, nor do targets that the platform manages.
+/// Returns the engines of a pool in this data centre. Plain services and targets that the platform
+/// manages take no orders.
 fn local_engines(daemon: &Daemon, pool: &Pool) -> Vec<Target> {
     if pool.kind != PoolKind::Engine || pool.listed {
         return Vec::new();
--- a/crates/lilaccrankd/src/orders/message.rs
+++ b/crates/lilaccrankd/src/orders/message.rs
@@ -1,4 +1,4 @@
-//! What daemons say to each other about orders to targets.
+//! Messages between daemons about orders to targets.
 
 use lilaccrank::ids::{PoolId, TargetId};
 use lilaccrank::operators::OrderOutcome;
@@ -8,37 +8,37 @@
 /// Passes an operator's order on to the daemon that gives orders to the pool.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderRequest {
-    /// Tells an operator's repetition, which tries again what failed, from the same call asked
-    /// again.
+    /// Number of the operator's attempt. A new attempt tries again what failed; a repeated request
+    /// with the same number only asks for the outcome.
     pub attempt: u64,
-    /// State to reach.
+    /// The order itself.
     pub command: Command,
-    /// Equal for each repetition of one order.
+    /// Id of the order, the same in each repetition.
     pub id: String,
     /// Pool of the target.
     pub pool: PoolId,
-    /// The target.
+    /// Target of the order.
     pub target: TargetId,
-    /// As the daemon asked for in [`OrderReply::Confirm`].
+    /// Token from [`OrderReply::Confirm`].
     pub token: Option<u64>,
 }
 
-/// Reply to an [`OrderRequest`], at once: an order may take longer than a call between daemons.
+/// Immediate reply to an [`OrderRequest`]. An order may take longer than a call between daemons.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum OrderReply {
-    /// It begins once it is asked for again with this token.
+    /// The order starts once it is requested again with this token.
     ///
-    /// A request may lie unread while its receiver is paused. By the time it is read, another
-    /// daemon has carried it out and a later order too, which it would undo. Nobody waits for
-    /// the reply to such a request, so nobody sends the token.
+    /// A request may stay unread while its receiver is paused. By the time it is read, another
+    /// daemon may have run this order and a later one, which this order would undo. Nobody waits
+    /// for the reply to such an old request, so nobody sends the token.
     Confirm {
-        /// Drawn anew for each order.
+        /// Random number, drawn for each order.
         token: u64,
     },
     /// This daemon does not give orders to the pool.
     Declined,
-    /// How it ended.
+    /// Outcome of the order.
     Ended(OrderOutcome),
-    /// It is under way; ask again.
+    /// The order is running; ask again.
     UnderWay,
 }
--- a/crates/lilaccrankd/src/orders/pool_orders.rs
+++ b/crates/lilaccrankd/src/orders/pool_orders.rs
@@ -1,4 +1,4 @@
-//! The orders of one daemon to the targets of one pool, under one lease.
+//! Orders of one daemon to the targets of one pool, under one lease.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,19 +18,19 @@
 use crate::orders::target_orders::TargetOrders;
 use crate::orders::timeouts::OrderTimeouts;
 
-/// The lease is kept this long after the last order. Orders come in series, and a target that
-/// ignores fencing numbers costs a long wait each time the lease is taken anew.
+/// How long the lease is kept after the last order. Orders come in series, and a target that
+/// ignores fencing numbers costs a long wait each time the lease is acquired again.
 const LEASE_LINGER: Duration = Duration::from_secs(30);
-/// Time between two looks at a lease that is being taken.
+/// Interval at which an order checks whether the lease is held.
 const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Who gives the orders to one pool of one data centre.
+/// Gives the orders to one pool of one data centre.
 ///
-/// There is one for each pool through the whole life of the daemon, also while another has the
-/// duty: two candidates of one name would take the lease from each other without waiting.
+/// It exists for each pool as long as the daemon runs, also while another daemon has the duty: two
+/// candidates with the same holder name would take the lease from each other without waiting.
 pub struct PoolOrders {
     changed: Event,
-    /// Name of the lease.
+    /// Key of the lease in the store.
     key: String,
     last_order_at: Cell<Instant>,
     incarnation: Cell<Incarnation>,
@@ -40,17 +40,17 @@
     lease_handle: LeaseHandle<MonoioClock>,
     term: Cell<Term>,
     timeouts: OrderTimeouts,
-    /// Orders that need the lease now.
+    /// Number of orders that need the lease.
     pending_orders: Cell<usize>,
 }
 
-/// Counts the times that this daemon took the duty on.
+/// Number of times that this daemon has taken on the duty.
 pub type Term = u64;
 
-/// The task that keeps the lease while it is needed.
+/// Keeps the lease while it is needed.
 type LeaseKeeper = Keeper<PlatformStore, MonoioClock>;
 
-/// Counts one order that needs the lease until it is dropped.
+/// Counts one order as needing the lease until it is dropped.
 struct PendingOrder<'a>(&'a PoolOrders);
 
 impl Drop for PendingOrder<'_> {
@@ -62,7 +62,7 @@
 }
 
 impl PoolOrders {
-    /// Starts the task that takes the lease at `key` while it is needed.
+    /// Starts the task that acquires the lease at `key` while it is needed.
     pub fn start(
         key: String,
         holder: String,
@@ -98,18 +98,19 @@
         pool_orders
     }
 
-    /// Whether this daemon gives the pool's orders.
+    /// Returns `true` if this daemon gives the pool's orders.
     pub fn is_active(&self) -> bool {
         self.active.get()
     }
 
-    /// The present term; `None` while another daemon has the duty.
+    /// The current term; `None` while another daemon has the duty.
     pub fn term(&self) -> Option<Term> {
         self.is_active().then(|| self.term.get())
     }
 
-    /// Takes the duty on, or lets it and the lease go. `incarnation` is the daemon's present one: who was
-    /// taken for dead and comes back begins a new term, though it never saw another have the duty.
+    /// Takes on the duty, or gives it up together with the lease. `incarnation` is that of this
+    /// daemon: a daemon that was taken for dead and returns begins a new term, even if it never saw
+    /// another daemon have the duty.
     pub fn set_active(&self, is_active: bool, incarnation: Incarnation) {
         let is_same_incarnation = self.incarnation.replace(incarnation) == incarnation;
         if self.active.replace(is_active) == is_active && (is_same_incarnation || !is_active) {
@@ -121,7 +122,7 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Targets that orders may go to.
+    /// Sets the targets that orders may go to.
     pub fn set_targets(&self, targets: Vec<Target>) {
         let targets = targets
             .into_iter()
@@ -130,26 +131,26 @@
         self.changed.notify(usize::MAX);
     }
 
-    /// Names of the targets that orders may go to.
+    /// Ids of the targets that orders may go to.
     pub fn target_ids(&self) -> Vec<TargetId> {
         self.targets.borrow().keys().cloned().collect()
     }
 
-    /// One of the targets that orders may go to.
+    /// Returns a target that orders may go to.
     pub fn target(&self, id: &TargetId) -> Option<Target> {
         self.targets.borrow().get(id).cloned()
     }
 
-    /// Hears of changes of the duty and of the targets.
+    /// Returns a listener for changes of the duty and of the targets.
     pub fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// Gives one order; takes the lease for it, within bounds.
+    /// Gives one order. Waits for the lease, up to a limit.
     ///
     /// # Errors
     ///
-    /// [`Error::Unknown`] if the target may carry it out; after any other error it does not.
+    /// [`Error::Unknown`] if the target may have carried it out; after any other error it has not.
     pub async fn give(&self, target: &Target, id: &str, command: Command) -> Result<()> {
         let _pending_order = self.track_order();
         let addressee = Addressee {
@@ -165,12 +166,13 @@
             {
                 monoio::time::sleep(LEASE_POLL_INTERVAL).await;
             }
-            // In a new term another may have given a later order, which this one would undo.
+            // In a new term, another daemon may have given a later order, which this one would
+            // undo.
             if term.is_none() || term != self.term() || self.lease_handle.guard().is_err() {
                 return Err(lease::Error::NotHeld(self.key.clone()).into());
             }
             let result = self.orders.give(&addressee, id, command.clone()).await;
-            // The lease was lost before anything was sent.
+            // Nothing was sent if the lease was lost before.
             let can_retry = matches!(result, Err(Error::Lease(_))) && Instant::now() < deadline;
             if !can_retry {
                 return result;
@@ -191,8 +193,8 @@
         }
     }
 
-    /// The lease is taken only for orders. Held by each pool of each data centre all the time, it
-    /// would cost the store more writes than everything else together.
+    /// Completes once the lease is needed. Holding it all the time for each pool of each data
+    /// centre would cost the store more writes than everything else together.
     async fn wait_until_needed(&self) {
         loop {
             let changed = self.listen();
--- a/crates/lilaccrankd/src/orders/relay.rs
+++ b/crates/lilaccrankd/src/orders/relay.rs
@@ -11,17 +11,17 @@
 use crate::orders::jobs;
 use crate::orders::message::{OrderReply, OrderRequest};
 
-/// Time between two questions how an order is getting on.
+/// Interval at which a running order is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Has an order given, and waits for its end within the time that it may take.
+/// Submits an order and waits for its outcome, up to the longest time that an order may take.
 pub async fn submit(daemon: &Rc<Daemon>, mut req: OrderRequest) -> OrderOutcome {
     let deadline = Instant::now() + daemon.order_keeper.timeouts.max_order_duration();
-    // The daemon that may have begun it.
+    // The daemon that may have started the order.
     let mut started_on: Option<MemberRef> = None;
     loop {
-        // When the duty moves on, only who began the order can tell what became of it; another
-        // would begin it anew.
+        // When the duty moves to another daemon, only the one that started the order knows its
+        // outcome; the other would run it again.
         let previous = started_on
             .clone()
             .filter(|previous| daemon.duties.is_live(previous));
@@ -67,7 +67,8 @@
     daemon.peers.call(&holder.vm, req.clone()).await
 }
 
-/// A daemon that refuses knows of itself that it sent nothing, but not of another that had begun.
+/// Returns `Unknown` if another daemon than the refusing one may have started the order: a daemon
+/// knows only that it sent nothing itself.
 fn failure(started_on: &Option<MemberRef>, by: Option<&MemberRef>, reason: String) -> OrderOutcome {
     match started_on {
         Some(previous) if by != Some(previous) => OrderOutcome::Unknown { reason },
--- a/crates/lilaccrankd/src/orders/target_orders.rs
+++ b/crates/lilaccrankd/src/orders/target_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines over `POST /orders`.
+//! Sends orders to engines over `POST /orders`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,9 +20,9 @@
 
 /// Path of the orders at an engine.
 const PATH: &str = "/orders";
-/// Argument that takes a drain back.
+/// Argument that ends a drain.
 const DRAIN_OFF: &str = "off";
-/// Largest reason of a refusal that is passed on, in bytes.
+/// Longest reason of a refusal that is passed on, in bytes.
 const REASON_LIMIT: usize = 4096;
 
 /// Body of an order.
@@ -41,7 +41,7 @@
     LoadModel,
 }
 
-/// The engines of one pool, at the addresses that the configuration gives.
+/// Sends orders to the engines of one pool.
 pub struct TargetOrders {
     /// Longest wait for an answer.
     answer_timeout: Duration,
@@ -50,7 +50,7 @@
 }
 
 impl TargetOrders {
-    /// Sends under `lease_handle` to those of `targets`.
+    /// Sends to these targets while `lease_handle` holds the lease.
     pub fn new(
         targets: Rc<RefCell<IndexMap<TargetId, Target>>>,
         answer_timeout: Duration,
@@ -70,12 +70,12 @@
         let unreachable = || Error::Unreachable(target.clone());
         let address = known.ok_or_else(unreachable)?.address;
         let req = request(order);
-        // A new connection, since an idle one may have died without a word: an order sent on it
-        // could neither be called given nor not given.
+        // Opens a new connection: an idle one may be dead without notice, and whether an order sent
+        // on it was received would be unknown.
         let connected = Connection::open(&address, CONNECT_TIMEOUT).await;
         let mut connection = connected.map_err(|_| unreachable())?;
-        // The process may have been paused while it connected, for longer than its lease. Only
-        // the time between this look and the bytes leaving is not covered; see
+        // The process may have been paused while connecting, for longer than its lease. Only the
+        // time between this check and the sending of the bytes is not covered; see
         // docs/COORDINATION.md.
         self.lease_handle.guard_for(order.fence)?;
         let sent = connection.send(req, self.answer_timeout).await;
--- a/crates/lilaccrankd/src/orders/timeouts.rs
+++ b/crates/lilaccrankd/src/orders/timeouts.rs
@@ -1,4 +1,4 @@
-//! Times of orders to targets, from the daemon's settings.
+//! Timeouts of orders to targets, from the daemon's settings.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 
 use crate::settings::Settings;
 
-/// Share of a lease by which its holder stops earlier; covers clocks that differ in rate by as
-/// much.
+/// Divisor of the lease duration that gives the margin by which the holder stops early. The margin
+/// covers clocks whose rates differ by as much.
 const MARGIN_DIVISOR: u32 = 10;
-/// Longest wait for a target's answer.
+/// Longest wait for the answer of a target.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 /// Longest wait for one answer of the store.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Times of orders to targets.
+/// Timeouts of orders to targets.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderTimeouts {
     in_flight: Duration,
@@ -22,7 +22,7 @@
 }
 
 impl OrderTimeouts {
-    /// The times that the settings ask for.
+    /// Timeouts from the settings.
     #[must_use]
     pub fn new(cfg: &Settings) -> Self {
         Self {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Times of the lease.
+    /// Settings of the lease.
     #[must_use]
     pub fn lease(self) -> lease::Settings {
         lease::Settings {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Times of one order.
+    /// Settings of one order.
     #[must_use]
     pub fn orders(self) -> orders::Settings {
         orders::Settings {
@@ -51,14 +51,14 @@
         }
     }
 
-    /// Longest wait until the lease is held: an earlier holder's may have to end, and the look
-    /// that finds it ended may come a part of a lease later.
+    /// Longest wait for the lease. The lease of an earlier holder may have to expire, and it may be
+    /// found expired only part of a lease later.
     #[must_use]
     pub fn max_lease_wait(self) -> Duration {
         self.lease * 2
     }
 
-    /// Longest time that an operator's order may take, with all waits and tries.
+    /// Longest duration of an operator's order, with all waits and attempts.
     #[must_use]
     pub fn max_order_duration(self) -> Duration {
         self.max_lease_wait() + self.lease + self.in_flight * 4 + STORE_TIMEOUT
--- a/crates/lilaccrankd/src/peers.rs
+++ b/crates/lilaccrankd/src/peers.rs
@@ -1,4 +1,4 @@
-//! Other daemons: who they are, what they are told, and what that costs.
+//! Other daemons: membership duties, messages between daemons, and the traffic that they cost.
 
 pub mod advisories;
 pub mod change_signal;
--- a/crates/lilaccrankd/src/peers/advisories.rs
+++ b/crates/lilaccrankd/src/peers/advisories.rs
@@ -1,4 +1,4 @@
-//! The advisories of this daemon and their propagation.
+//! Advisories of this daemon and their propagation to others.
 
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
@@ -14,10 +14,10 @@
 use crate::peers::load_exchange::LoadExchange;
 use crate::targets::protocol::RateLimit;
 
-/// Most advisories in one load update; the rest follows with the next one.
+/// Maximum number of advisories in one load update; the rest follows with the next one.
 const UPDATE_LIMIT: usize = 32;
 
-/// Advisories of this and other daemons.
+/// Advisories of this daemon and of others.
 pub struct SharedAdvisories {
     completed: RefCell<RecentContents>,
     crashes: ChangeSignal,
@@ -37,7 +37,7 @@
 }
 
 impl SharedAdvisories {
-    /// A target crashed with a request of this content in flight.
+    /// Records that a target crashed with a request of this content in flight.
     pub fn record_crash(
         &self,
         content: ContentDigest,
@@ -58,7 +58,7 @@
         self.record(fact, exchange);
     }
 
-    /// A target completed a request of this content.
+    /// Records that a target completed a request of this content.
     pub fn record_completion(&self, content: ContentDigest, exchange: &LoadExchange) {
         let now = Instant::now();
         self.completed.borrow_mut().insert(content, now);
@@ -67,17 +67,17 @@
         }
     }
 
-    /// Notifies of new crashes.
+    /// Signal of new crashes.
     pub fn crashes(&self) -> &ChangeSignal {
         &self.crashes
     }
 
-    /// Whether any crash is on record.
+    /// Returns `true` if any crash is on record.
     pub fn has_crashes(&self) -> bool {
         self.known.borrow().has_crashes()
     }
 
-    /// Contents that are quarantined, and for how long they have been.
+    /// Quarantined contents, with the time since each was quarantined.
     pub fn quarantined(&self) -> Vec<(ContentDigest, Duration)> {
         self.known.borrow().quarantined(Instant::now())
     }
@@ -102,7 +102,8 @@
         }
     }
 
-    /// How long a request is still quarantined, whose content is `content()`.
+    /// Remaining quarantine of the request whose content is `content()`. The content is only
+    /// computed if there are advisories.
     pub fn quarantine_remaining(
         &self,
         content: impl FnOnce() -> ContentDigest,
@@ -114,7 +115,7 @@
         known.quarantine_remaining(content(), Instant::now())
     }
 
-    /// Notes the rate limit that a target advertised with an answer.
+    /// Records the rate limit that a target advertised with an answer.
     pub fn record_rate_limit(
         &self,
         target: &TargetLife,
@@ -133,12 +134,12 @@
         self.record(fact, exchange);
     }
 
-    /// Rates that targets advertise, in requests per second.
+    /// Rate limits that targets advertise, in requests per second.
     pub fn rate_limits(&self) -> IndexMap<LifeDigest, f64> {
         self.known.borrow().rate_limits(Instant::now()).collect()
     }
 
-    /// The next sync request to a peer.
+    /// Returns the next sync request to a peer.
     pub fn pull(&self, vm: &VmId) -> Pull {
         let mut cursors = self.cursors.borrow_mut();
         cursors.pull(vm, &self.known.borrow(), Instant::now())
@@ -154,7 +155,7 @@
         self.propagate(&new, exchange);
     }
 
-    /// Replies to a peer as this daemon's `incarnation`.
+    /// Replies to the sync request of a peer, as this daemon's `incarnation`.
     pub fn answer(&self, pull: &Pull, incarnation: Incarnation, exchange: &LoadExchange) -> Page {
         let (page, new) = {
             let mut known = self.known.borrow_mut();
@@ -164,7 +165,7 @@
         page
     }
 
-    /// Advisories for the next load update.
+    /// Takes the advisories for the next load update.
     pub fn take_updates(&self) -> Vec<Advisory> {
         let mut known = self.known.borrow_mut();
         known.take_updates(UPDATE_LIMIT, Instant::now())
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Logs new facts and notifies of crashes.
+    /// Logs new facts and signals crashes.
     fn publish(&self, new: &[Fact]) {
         for fact in new {
             match *fact {
--- a/crates/lilaccrankd/src/peers/change_signal.rs
+++ b/crates/lilaccrankd/src/peers/change_signal.rs
@@ -1,14 +1,14 @@
-//! Tells one task that something has changed since it last looked.
+//! A signal that something has changed since a task last checked.
 
 use std::cell::Cell;
 
 use event_listener::Event;
 
-/// Changes of one thing, of which any number counts as one.
+/// Signal from any number of writers to one task; several changes count as one.
 ///
-/// A change that comes while the task is at work is kept until it looks again. A bare event wakes
-/// only who already listens: what changed while a daemon told its load was told a quarter of a second
-/// later, and the others sent their requests to targets that were full.
+/// A change that comes while the task is busy is kept until it waits again. A bare event wakes only
+/// tasks that already listen: a change during the sending of a load update was then only sent with
+/// the next heartbeat, and the peers sent requests to targets that were full.
 #[derive(Debug, Default)]
 pub struct ChangeSignal {
     event: Event,
@@ -16,7 +16,7 @@
 }
 
 impl ChangeSignal {
-    /// Something has changed.
+    /// Records a change and wakes the task.
     pub fn notify(&self) {
         self.is_pending.set(true);
         self.event.notify(usize::MAX);
--- a/crates/lilaccrankd/src/peers/duties.rs
+++ b/crates/lilaccrankd/src/peers/duties.rs
@@ -1,4 +1,4 @@
-//! Which member of the data centre has which duty.
+//! Assigns duties to the members of a data centre.
 
 use lilaccrank::ids::{PoolId, VmId};
 use lilaccrank::membership::{Member, Membership};
@@ -7,19 +7,20 @@
 
 use crate::settings::{Dispatch, Settings};
 
-/// Name of the duty to watch the store.
+/// Rendezvous key of the duty to watch the store.
 const WATCHER_DUTY: &str = "watch/configuration";
-/// Duties by rendezvous hashing over the live members.
+/// Duties, assigned by rendezvous hashing over the live members.
 #[derive(Clone)]
 pub struct Duties {
     dispatch: Dispatch,
     membership: Membership,
-    /// Waiting watches grow with the data centres, not with the daemons.
+    /// Number of daemons that watch the store, so that open watches grow with the data centres and
+    /// not with the daemons.
     watchers: usize,
 }
 
 impl Duties {
-    /// Duties of the members that `membership` thinks live.
+    /// Assigns duties to the live members of `membership`.
     #[must_use]
     pub fn new(cfg: &Settings, membership: Membership) -> Self {
         Self {
@@ -29,7 +30,7 @@
         }
     }
 
-    /// The dispatcher of a pool here.
+    /// The dispatcher of a pool in this data centre.
     #[must_use]
     pub fn dispatcher(&self, pool: &PoolId) -> Option<MemberRef> {
         if self.dispatch == Dispatch::Each {
@@ -42,7 +43,7 @@
         Some(member_ref(member))
     }
 
-    /// Whether this daemon watches the store for its data centre.
+    /// Returns `true` if this daemon watches the store for its data centre.
     #[must_use]
     pub fn is_watcher(&self) -> bool {
         let live = self.membership.live();
@@ -51,7 +52,7 @@
         watchers.contains(&&self.membership.me().vm)
     }
 
-    /// The watchers of the data centre, the first one first.
+    /// The watchers of the data centre, highest rank first.
     #[must_use]
     pub fn watchers(&self) -> Vec<VmId> {
         let live = self.membership.live();
@@ -60,13 +61,13 @@
         watchers.into_iter().cloned().collect()
     }
 
-    /// Whether each daemon grants targets to its own requests.
+    /// Returns `true` if each daemon grants targets to its own requests.
     #[must_use]
     pub fn is_dispatch_local(&self) -> bool {
         self.dispatch == Dispatch::Each
     }
 
-    /// Whether this daemon, in its present life, is the dispatcher of a pool.
+    /// Returns `true` if this daemon, in its current incarnation, is the dispatcher of a pool.
     #[must_use]
     pub fn is_dispatcher(&self, pool: &PoolId) -> bool {
         self.dispatcher(pool) == Some(self.me())
@@ -96,7 +97,7 @@
     }
 }
 
-/// The life of a member.
+/// The VM and incarnation of a member.
 #[must_use]
 pub fn member_ref(member: &Member) -> MemberRef {
     MemberRef {
--- a/crates/lilaccrankd/src/peers/load_exchange.rs
+++ b/crates/lilaccrankd/src/peers/load_exchange.rs
@@ -1,9 +1,9 @@
-//! Daemons that each dispatch their own requests tell each other what they have on the targets.
+//! Exchanges load between daemons that each dispatch their own requests.
 //!
-//! Those of a cell tell each other what has changed: at once where it decides where the others send,
-//! else with what gathers in the next moments. All others only have to know what customers ask of the
-//! cell; one daemon of each cell tells that, at a pace that falls with the number of cells. A lost
-//! datagram is made good by the next.
+//! Daemons of one cell send each other what has changed: at once if it affects where the others
+//! send requests, otherwise batched for a short time. All other daemons only need the demand of
+//! customers on the cell. One daemon of each cell reports it, at an interval that grows with the
+//! number of cells. A lost datagram is made up for by the next one.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -27,42 +27,44 @@
 use crate::peers::load_message::{self, LoadMessage};
 use crate::pools::server;
 
-/// Longest time between two datagrams: peers forget who is silent for six times as long.
+/// Longest time between two datagrams. Peers drop the load of a daemon that is silent for six times
+/// as long.
 const HEARTBEAT: Duration = Duration::from_millis(250);
-/// Time for which changes gather that decide nothing: where targets have room, daemons that see them as
-/// they were a moment ago send to the same ones as those that see them as they are.
+/// How long changes are batched that affect no decision: while targets have capacity, daemons with
+/// a slightly older view choose the same targets as the others.
 const BATCH_DELAY: Duration = Duration::from_millis(50);
 /// Shortest time between two datagrams. Some sixty requests a second in all make three changes
-/// each, so that most changes are told at once.
+/// each, so that most changes are sent at once.
 const MIN_SEND_INTERVAL: Duration = Duration::from_millis(10);
-/// What each peer of the cell adds to that time. A cell has fifteen peers at most: a change is
-/// told within 25 ms.
+/// Added to that time for each peer of the cell. A cell has at most fifteen peers, so a change is
+/// sent within 25 ms.
 const INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
-/// Time between two words of a cell to all daemons outside it, at least.
+/// Shortest time between two reports of a cell's demand to all daemons.
 const MIN_CELL_INTERVAL: Duration = Duration::from_millis(500);
-/// What each cell adds to that time: a daemon hears some fifteen of these words a second.
+/// Added to that time for each cell; a daemon then receives some fifteen reports a second.
 const INTERVAL_PER_CELL: Duration = Duration::from_millis(64);
-/// Room for one datagram. A daemon's own requests on fifty targets take two kilobytes.
+/// Largest datagram. A daemon's own requests on fifty targets take two kilobytes.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
-/// The exchange of one daemon.
+/// State of the load exchange of one daemon.
 #[derive(Default)]
 pub struct LoadExchange {
-    /// Changes that can wait for others.
+    /// Changes that may be batched.
     deferrable: ChangeSignal,
-    /// The last message of each peer: datagrams may come out of order.
+    /// Incarnation and sequence number of the last message of each peer, since datagrams may be
+    /// reordered.
     last_received: RefCell<IndexMap<VmId, (Incarnation, u64)>>,
-    /// Members by the addresses of their datagrams, as of a version of the membership.
+    /// Members by the addresses of their datagrams, at a version of the membership.
     members: RefCell<(u64, IndexMap<SocketAddr, Member>)>,
-    /// Messages that this daemon told.
+    /// Number of messages that this daemon has built.
     sequence: Cell<u64>,
-    /// Changes that are told at once.
+    /// Changes that are sent at once.
     urgent: ChangeSignal,
 }
 
 impl LoadExchange {
-    /// What this daemon has on targets, or let pass, is another than before; `is_urgent` if others
-    /// would decide otherwise if they knew.
+    /// Records a change of this daemon's load on targets, or of what it admitted. A change
+    /// `is_urgent` if others would decide otherwise if they knew.
     pub fn note_change(&self, is_urgent: bool) {
         if is_urgent {
             self.urgent.notify();
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Completes when there is something to tell.
+    /// Completes once there is a change to send.
     async fn changed(&self) {
         let urgent = self.urgent.changed();
         let deferrable = async {
@@ -82,8 +84,8 @@
         future::select(urgent, deferrable).await;
     }
 
-    /// The member whose datagrams come from this address. Where a later vm has the address of one that
-    /// has ended, it is the later one.
+    /// The member whose datagrams come from this address. If a later VM reuses the address of one
+    /// that has ended, it is the later one.
     fn member(&self, membership: &Membership, from: SocketAddr) -> Option<Member> {
         let version = membership.version();
         let mut members = self.members.borrow_mut();
@@ -96,14 +98,14 @@
         members.1.get(&from).cloned()
     }
 
-    /// Forgets the order of messages of daemons that are members no more.
+    /// Drops the sequence numbers of daemons that are no longer members.
     fn retain_members(&self, is_member: impl Fn(&VmId) -> bool) {
         self.last_received
             .borrow_mut()
             .retain(|vm, _| is_member(vm));
     }
 
-    /// Whether a message is newer than the last one of its sender.
+    /// Returns `true` and records the message if it is newer than the last one of its sender.
     fn is_new(&self, vm: &VmId, message: &LoadMessage) -> bool {
         let position = (message.incarnation, message.sequence);
         let mut last_received = self.last_received.borrow_mut();
@@ -120,12 +122,12 @@
 ///
 /// # Errors
 ///
-/// If the address is taken.
+/// If the address can't be bound.
 pub fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
     UdpSocket::bind(address)
 }
 
-/// Tells and hears for as long as the daemon runs.
+/// Sends and receives load updates until the daemon ends.
 pub async fn run(daemon: Rc<Daemon>, socket: UdpSocket) {
     let socket = Rc::new(socket);
     monoio::spawn(receive(Rc::clone(&daemon), Rc::clone(&socket)));
@@ -149,7 +151,7 @@
     }
 }
 
-/// Tells all daemons what is asked of this cell, while this daemon speaks for it.
+/// Reports the demand on this cell to all daemons while this daemon represents the cell.
 async fn report_cell_demand(daemon: Rc<Daemon>, socket: Rc<UdpSocket>) {
     loop {
         let cells = u32::from(server::cell(&daemon).id().count);
@@ -186,14 +188,14 @@
     u32::try_from(peers.len()).unwrap_or(u32::MAX)
 }
 
-/// Whether there is anything that all daemons have to know of each other at once.
+/// Returns `true` if daemons need each other's load or quota usage.
 fn is_needed(daemon: &Daemon) -> bool {
     let has_quotas = daemon.in_force().is_ok_and(|in_force| in_force.has_quotas);
     daemon.duties.is_dispatch_local() || has_quotas
 }
 
-/// The other daemons of this cell, and all others. Where only one daemon dispatches a pool there
-/// are no cells, and all are told of quotas alike.
+/// The other daemons of this cell, and all remaining ones. Where only one daemon dispatches a pool,
+/// there are no cells and all daemons exchange quota usage.
 fn peers(daemon: &Daemon) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
     let me = daemon.duties.me().vm;
     let live = daemon.membership.live();
@@ -230,7 +232,7 @@
     send(daemon, socket, &message, peers.iter()).await;
 }
 
-/// The next message of this daemon, with nothing in it.
+/// Returns the next message of this daemon, without content.
 fn empty_message(daemon: &Daemon) -> LoadMessage {
     let sequence = daemon.load_exchange.sequence.get() + 1;
     daemon.load_exchange.sequence.set(sequence);
@@ -253,14 +255,14 @@
 ) {
     let buf = match rmp_serde::to_vec(message) {
         Ok(buf) => buf,
-        Err(e) => return log::error!("the load can't be told: {e}"),
+        Err(e) => return log::error!("failed to encode the load update: {e}"),
     };
     let tally = &daemon.traffic.load_exchange;
     for peer in peers {
         let (sent, _) = socket.send_to(buf.clone(), *peer).await;
         match sent {
             Ok(sent) => note_sent(tally, sent),
-            Err(e) => log::debug!("the load was not told to {peer}: {e}"),
+            Err(e) => log::debug!("failed to send the load update to {peer}: {e}"),
         }
     }
 }
@@ -276,7 +278,7 @@
         let (len, from) = match received {
             Ok(received) => received,
             Err(e) => {
-                log::debug!("a peer's load was not received: {e}");
+                log::debug!("failed to receive a load update: {e}");
                 continue;
             }
         };
@@ -286,7 +288,7 @@
         let member = |from| daemon.load_exchange.member(&daemon.membership, from);
         match LoadMessage::read(&buf, from, member) {
             Ok((vm, message)) => apply(&daemon, &vm, message),
-            Err(e) => log::debug!("a word about load is not believed: {e}"),
+            Err(e) => log::debug!("ignored a load update: {e}"),
         }
     }
 }
--- a/crates/lilaccrankd/src/peers/load_message.rs
+++ b/crates/lilaccrankd/src/peers/load_message.rs
@@ -1,11 +1,13 @@
-//! What one daemon tells the others of its load, and whether it is believed.
+//! Load messages between daemons, and their validation.
 //!
-//! Datagrams come from anywhere: cut short, replayed, from a daemon of another version, or from one that
-//! has ended and whose address another one has. A message is believed of a member only, known by its
-//! address, and of no earlier life than the one that is known. Whether the member is thought to live
-//! does not matter: what it has on the targets is there.
+//! Datagrams may come from anywhere: truncated, replayed, from a daemon of another version, or from
+//! one that has ended and whose address is now used by another. A message is accepted only from a
+//! member, identified by its address, and only if its incarnation is not older than the known one.
+//! The message is accepted even if the member is not considered live: its load is on the targets
+//! all the same.
 //!
-//! Some hundred of these messages come each second: pools and customers are named by digests in them.
+//! About a hundred of these messages arrive each second, so they name pools and customers by
+//! digests.
 
 use std::net::SocketAddr;
 
@@ -20,56 +22,56 @@
 
 /// Result of reading a datagram.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
-/// Stands for a customer: two of 35,000 have the same one in one of 10^10 configurations.
+/// Digest of a customer id. Two of 35,000 customers collide in one of 10^10 configurations.
 pub type CustomerDigest = u64;
-/// Stands for a pool: two of thirty have the same one in one of 10 million configurations.
+/// Digest of a pool id. Two of thirty pools collide in one of 10 million configurations.
 pub type PoolDigest = u32;
 
-/// Why a datagram is not believed.
+/// Why a datagram is rejected.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The sender has started again since.
-    #[error("{vm} has started again since it said this")]
+    /// The sender has restarted since.
+    #[error("{vm} has restarted since it sent this message")]
     StaleIncarnation {
-        /// Who says it.
+        /// The sender.
         vm: VmId,
     },
-    /// Its bytes are no message of this version.
-    #[error("it can't be read: {0}")]
+    /// The bytes are not a message of this version.
+    #[error("cannot decode the message: {0}")]
     Unreadable(#[from] rmp_serde::decode::Error),
     /// No member has the sender's address.
     #[error("no member has the address {from}")]
     UnknownSender {
-        /// Where it came from.
+        /// Address of the sender.
         from: SocketAddr,
     },
 }
 
-/// What one daemon tells.
+/// Load update of one daemon.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct LoadMessage {
-    /// New advisories of its sender.
+    /// New advisories from the sender.
     pub advisories: Vec<Advisory>,
-    /// What is asked of its sender's cell, if it speaks for it.
+    /// Demand on the sender's cell, if the sender represents it.
     pub cell_demand: Option<CellDemand<CustomerDigest>>,
-    /// Life of its sender.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Whether its sender is about to end, and spends nothing more.
+    /// Set if the sender is about to end and spends no more quota.
     pub ending: bool,
-    /// What its sender has on the targets of each pool.
+    /// Load of the sender on the targets of each pool.
     pub pools: Vec<(PoolDigest, Digest)>,
-    /// Grows with each message of one life.
+    /// Sequence number within one incarnation.
     pub sequence: u64,
-    /// What its sender let pass of customers with quotas.
+    /// Quota that the sender spent, by customer.
     pub spent: Vec<(CustomerDigest, Spent)>,
 }
 
 impl LoadMessage {
-    /// Reads a datagram that came `from` an address. Returns the member that sent it, too.
+    /// Decodes a datagram that came `from` an address. Also returns the member that sent it.
     ///
     /// # Errors
     ///
-    /// It is not believed.
+    /// If the datagram is rejected.
     pub fn read(
         datagram: &[u8],
         from: SocketAddr,
@@ -84,13 +86,13 @@
     }
 }
 
-/// The digest of a customer.
+/// Returns the digest of a customer id.
 #[must_use]
 pub fn customer_digest(id: &str) -> CustomerDigest {
     xxh3::xxh3_64(id.as_bytes())
 }
 
-/// The digest of a pool.
+/// Returns the digest of a pool id.
 #[must_use]
 pub fn pool_digest(id: &str) -> PoolDigest {
     xxh3::xxh3_64(id.as_bytes()) as PoolDigest
--- a/crates/lilaccrankd/src/peers/message.rs
+++ b/crates/lilaccrankd/src/peers/message.rs
@@ -1,4 +1,4 @@
-//! What daemons say to each other.
+//! Messages between daemons.
 
 use std::time::Duration;
 
@@ -15,31 +15,31 @@
 use crate::orders::message::{OrderReply, OrderRequest};
 use crate::targets::live_list::Listing;
 
-/// A message with the time at its sender, by which time lines are put in causal order.
+/// A message with its sender's time, which puts timelines into causal order.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Stamped<T> {
     /// The message.
     pub message: T,
-    /// Sender's time.
+    /// Time at the sender.
     pub stamp: Stamp,
 }
 
-/// A message of an entry to the dispatcher of a pool, or back.
+/// A message between an entry and the dispatcher of a pool.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum PoolMessage {
-    /// Entry to dispatcher.
+    /// From an entry to the dispatcher.
     Ask(Ask),
-    /// Entry to dispatcher.
+    /// From an entry to the dispatcher.
     Cancel(Cancel),
-    /// Entry to dispatcher.
+    /// From an entry to the dispatcher.
     Report(Report),
-    /// Entry to dispatcher.
+    /// From an entry to the dispatcher.
     Resync(Resync),
-    /// Dispatcher to entry.
+    /// From the dispatcher to an entry.
     Verdict {
         /// The dispatcher.
         from: MemberRef,
-        /// What it decided.
+        /// Its decision.
         verdict: Verdict,
     },
 }
@@ -47,7 +47,7 @@
 /// A message about one pool.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct PoolRequest {
-    /// What is said.
+    /// The message.
     pub message: PoolMessage,
     /// The pool.
     pub pool: PoolId,
@@ -56,16 +56,17 @@
 /// Reply to a [`PoolRequest`].
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum PoolReply {
-    /// Taken in; a verdict follows an ask, a grant is used.
+    /// Accepted: a verdict will follow an ask, or a grant is used.
     Accepted {
-        /// Asks waiting in the pool.
+        /// Number of asks that wait in the pool.
         waiting: usize,
     },
-    /// Not the dispatcher of this pool, or not the entry's last ask.
+    /// The receiver is not the dispatcher of this pool, or the verdict is not for the entry's last
+    /// ask.
     Declined,
 }
 
-/// Tells that a configuration is in force at its sender.
+/// Announces that a configuration is in force at its sender.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Announcement {
     /// The configuration.
@@ -74,61 +75,61 @@
     pub vm: VmId,
 }
 
-/// Asks a watcher what it knows.
+/// Asks a watcher for its configuration and its list of targets.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct FeedRequest {
-    /// Sync of advisories.
+    /// Sync request for advisories.
     pub advisories: sync::Pull,
-    /// Revision of the list of targets that the asker has.
+    /// Revision of the requester's list of targets.
     pub revision: u64,
 }
 
-/// Tells what a daemon knows of the platform, and how old that is.
+/// Reply to a [`FeedRequest`]: what a daemon knows of the platform, and how old that is.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Feed {
-    /// Reply to the sync of advisories.
+    /// Reply to the sync request for advisories.
     pub advisories: sync::Page,
-    /// How long ago its configuration was known to be the newest.
+    /// Time since its configuration was known to be the newest.
     pub age: Option<Duration>,
-    /// How long ago the platform itself answered it.
+    /// Time since the platform itself last answered it.
     pub direct_age: Option<Duration>,
-    /// How long ago it heard of the platform, by whichever way.
+    /// Time since it last had news of the platform, directly or through other daemons.
     pub heard_age: Option<Duration>,
     /// Its configuration.
     pub identity: Option<Identity>,
-    /// Its list of targets, if that is newer than the asker's.
+    /// Its list of targets, if newer than the requester's.
     pub listing: Option<Listing>,
-    /// How long ago its list was known to be the newest.
+    /// Time since its list was known to be the newest.
     pub listing_age: Option<Duration>,
 }
 
-/// Asks which configuration a daemon holds.
+/// Asks for the configuration that a daemon holds.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct HeldConfigurationRequest;
 
-/// Tells which configuration a daemon holds.
+/// The configuration that a daemon holds.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct HeldConfiguration {
-    /// Its name, `None` before the first one.
+    /// Identity of the configuration; `None` before the first one.
     pub identity: Option<Identity>,
 }
 
-/// Reply to a message that asks for nothing.
+/// Reply to a message that needs no answer.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct Done;
 
-/// All that a daemon asks another.
+/// Any request from one daemon to another.
 #[derive(Clone, Debug, Deserialize, From, Serialize, TryInto)]
 pub enum PeerRequest {
-    /// A new configuration.
+    /// A configuration came into force.
     Announcement(Announcement),
     /// About a configuration.
     Configuration(exchange::Ask),
-    /// Which configuration is held.
+    /// The configuration that a daemon holds.
     Held(HeldConfigurationRequest),
     /// About a request key.
     Key(KeyRequest),
-    /// What a watcher knows.
+    /// Configuration, advisories and targets known to a watcher.
     Feed(FeedRequest),
     /// About an order to a target.
     Order(OrderRequest),
@@ -136,18 +137,18 @@
     Pool(PoolRequest),
 }
 
-/// All that a daemon replies.
+/// Any reply from one daemon to another.
 #[derive(Clone, Debug, Deserialize, From, Serialize, TryInto)]
 pub enum PeerReply {
     /// About a configuration.
     Configuration(exchange::Answer),
-    /// Nothing to tell.
+    /// Acknowledgement without content.
     Done(Done),
-    /// Which configuration is held.
+    /// The configuration that a daemon holds.
     Held(HeldConfiguration),
     /// About a request key.
     Key(KeyReply),
-    /// What a watcher knows.
+    /// Configuration, advisories and targets known to a watcher.
     Feed(Feed),
     /// About an order to a target.
     Order(OrderReply),
--- a/crates/lilaccrankd/src/peers/network.rs
+++ b/crates/lilaccrankd/src/peers/network.rs
@@ -1,4 +1,4 @@
-//! The peers port over HTTP: one task for each peer and lane.
+//! Calls to other daemons over HTTP, with one task for each peer and channel.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -24,21 +24,21 @@
 
 type Link = PeerLink<Stamped<PeerRequest>, Stamped<PeerReply>>;
 
-/// Which connection a call takes.
+/// The connection that a call uses.
 ///
-/// A batch is answered when its slowest call is. A claim waits for the copy at a third daemon;
-/// if copies took the same connections as claims, three keepers could wait for each other in a
-/// circle until all three calls time out. Calls that wait for nobody have connections of their
-/// own, so each circle is cut.
+/// A batch is answered when its slowest call is. A claim waits for the copy at a third daemon; if
+/// copies shared connections with claims, three keepers could wait for each other in a cycle until
+/// all three calls time out. Calls that wait for nobody have connections of their own, which breaks
+/// the cycle.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Channel {
-    /// About configurations; these may be large.
+    /// Calls about configurations, which may be large.
     Configuration,
-    /// Between the holders of records; answered without asking anybody.
+    /// Calls between holders of records, answered without calling another daemon.
     Copies,
-    /// To the keeper of a key, which may ask the holder of the copy.
+    /// Calls to the keeper of a key, which may call the holder of the copy.
     Keys,
-    /// About pools and orders to their targets; answered without asking anybody.
+    /// Calls about pools and orders, answered without calling another daemon.
     Pools,
 }
 
@@ -54,19 +54,20 @@
     }
 }
 
-/// Links to the members of the data centre; clones share them.
+/// Links to the members of the data centre. Clones share the links.
 #[derive(Clone)]
 pub struct PeerNetwork {
     links: Rc<RefCell<IndexMap<(SocketAddr, Channel), Link>>>,
     membership: Membership,
-    /// Daemons of other data centres.
+    /// Addresses of daemons in other data centres.
     remote_daemons: Rc<[SocketAddr]>,
     timeline: Timeline<MonoioClock>,
     traffic: Rc<Traffic>,
 }
 
 impl PeerNetwork {
-    /// Links to the members that `membership` knows, and to daemons of other data centres.
+    /// Creates links on demand to the members that `membership` knows and to daemons of other data
+    /// centres.
     #[must_use]
     pub fn new(
         membership: Membership,
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Drops links to addresses that no member has any more.
+    /// Drops links to addresses that no longer belong to a member.
     pub fn prune(&self) {
         let members = self.membership.all();
         let is_known = |address: SocketAddr| {
@@ -106,8 +107,8 @@
                 Ok(reply.message)
             }
             Err(e) => {
-                // A refused connection is the first sign of a dead daemon: a probe now finds it
-                // out sooner than its turn would.
+                // A failed call is the first sign of a dead daemon: a probe now detects it earlier
+                // than the regular schedule would.
                 self.membership.suspect(vm);
                 Err(e)
             }
@@ -135,12 +136,13 @@
         }
     }
 
-    /// Daemons of other data centres are no members here; their address stands for their vm.
+    /// Returns the address of a VM. Daemons of other data centres are not members here; they are
+    /// named by their addresses.
     fn address(&self, vm: &VmId) -> Option<SocketAddr> {
         let address = |member: &Member| (member.vm == *vm).then_some(member.peers);
         let live = self.membership.live();
         let found = live.members.iter().find_map(address);
-        // A leaving member has no duties, but still gets its verdicts.
+        // A leaving member has no duties, but still receives its verdicts.
         found
             .or_else(|| self.membership.all().iter().find_map(address))
             .or_else(|| vm.parse().ok())
--- a/crates/lilaccrankd/src/peers/quarantine_record.rs
+++ b/crates/lilaccrankd/src/peers/quarantine_record.rs
@@ -1,7 +1,7 @@
 //! Synchronizes quarantines with their record in the platform's store.
 //!
-//! The record carries quarantines over a restart of the whole fleet and across partitions. It is read only when a
-//! crash is observed, so that it costs no calls otherwise.
+//! The record carries quarantines across a restart of the whole fleet and across partitions. It is
+//! only read when a crash is observed, so it costs no calls otherwise.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,19 +16,19 @@
 
 use crate::daemon::Daemon;
 
-/// Key of the record.
+/// Key of the record in the store.
 const KEY: &str = "quarantines/recent";
-/// Name of the duty to synchronize it.
+/// Rendezvous key of the duty to synchronize the record.
 const DUTY: &str = "quarantine-record";
-/// Daemons with that duty; the store may reject one of them.
+/// Number of daemons with that duty. The store may reject one of them.
 const WRITER_COUNT: usize = 2;
 /// Shortest time between two reads of the record.
 const MIN_SYNC_INTERVAL: Duration = Duration::from_secs(1);
-/// First and highest ceiling of the wait after a failed call.
+/// Upper bound of the first and of any wait after a failed call.
 const BASE_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// Runs for as long as the daemon does.
+/// Runs until the daemon ends.
 pub async fn run(daemon: Rc<Daemon>) {
     loop {
         daemon.advisories.crashes().changed().await;
@@ -37,7 +37,7 @@
         }
         let mut backoff = Backoff::new(BASE_BACKOFF, MAX_BACKOFF);
         while let Err(e) = synchronise(&daemon).await {
-            log::warn!(why:% = e; "the record of quarantines could not be synchronized");
+            log::warn!(why:% = e; "failed to synchronize the quarantine record");
             monoio::time::sleep(backoff.next_wait()).await;
             if !is_writer(&daemon) || !daemon.advisories.has_crashes() {
                 break;
@@ -80,10 +80,10 @@
         .await
 }
 
-/// A record that can't be read is replaced by the next write.
+/// Decodes the record. One that can't be decoded is replaced by the next write.
 fn read(found: &Versioned) -> QuarantineRecord {
     serde_json::from_slice(&found.value).unwrap_or_else(|e| {
-        log::warn!(why:% = e; "the record of quarantines can't be read");
+        log::warn!(why:% = e; "failed to decode the quarantine record");
         QuarantineRecord::default()
     })
 }
--- a/crates/lilaccrankd/src/peers/traffic.rs
+++ b/crates/lilaccrankd/src/peers/traffic.rs
@@ -1,15 +1,15 @@
-//! What the daemon spends on control, by the adapter through which it passes.
+//! Counts the daemon's control traffic by channel.
 
 use lilaccrank_http::tally::Tally;
 
-/// One tally for each kind of control.
+/// One tally for each channel of control traffic.
 #[derive(Default)]
 pub struct Traffic {
-    /// Membership, over UDP.
+    /// Membership gossip, over UDP.
     pub gossip: Tally,
-    /// What is on targets, over UDP.
+    /// Load on targets, over UDP.
     pub load_exchange: Tally,
-    /// Calls to peers about configurations and the list of vms.
+    /// Calls to peers about configurations and the list of VMs.
     pub peer_configuration: Tally,
     /// Calls to peers about copies of request keys.
     pub peer_copies: Tally,
@@ -17,16 +17,16 @@
     pub peer_keys: Tally,
     /// Calls to peers about pools.
     pub peer_pools: Tally,
-    /// Calls of peers, of all kinds.
+    /// Calls from peers, of all kinds.
     pub peer_served: Tally,
     /// Calls to the platform.
     pub store: Tally,
-    /// Readings of what targets report.
+    /// Polls of the reports of targets.
     pub target_reports: Tally,
 }
 
 impl Traffic {
-    /// Each tally by the name that metrics give to its channel.
+    /// Returns each tally with the name of its channel in the metrics.
     #[must_use]
     pub fn channels(&self) -> [(&'static str, &Tally); 9] {
         [
--- a/crates/lilaccrankd/src/peers/udp_gossip.rs
+++ b/crates/lilaccrankd/src/peers/udp_gossip.rs
@@ -1,4 +1,4 @@
-//! The datagram port of the membership over a UDP socket of the runtime.
+//! Membership datagrams over a UDP socket of the runtime.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use lilaccrank_http::tally::Tally;
 use monoio::net::udp::UdpSocket;
 
-/// Room for one datagram; members send at most [`lilaccrank::membership::DATAGRAM_LIMIT`].
+/// Size of the receive buffer; members send at most [`lilaccrank::membership::DATAGRAM_LIMIT`].
 const BUFFER_BYTES: usize = 2_048;
 
 /// A bound UDP socket.
@@ -17,7 +17,11 @@
 }
 
 impl UdpGossip {
-    /// Binds the gossip address of this daemon; what passes is counted in `tally`.
+    /// Binds the gossip address of this daemon. Traffic is counted in `tally`.
+    ///
+    /// # Errors
+    ///
+    /// If the address can't be bound.
     pub fn bind(address: SocketAddr, tally: Tally) -> io::Result<Self> {
         let socket = UdpSocket::bind(address)?;
         Ok(Self { socket, tally })
