--- a/crates/lilaccrankd/src/pools.rs
+++ b/crates/lilaccrankd/src/pools.rs
@@ -1,4 +1,4 @@
-//! Pools of targets: an entry asks the dispatcher of a pool for a place.
+//! Pools of targets: an entry asks the dispatcher of a pool for a target.
 
 pub mod client;
 pub mod poller;
--- a/crates/lilaccrankd/src/pools/client.rs
+++ b/crates/lilaccrankd/src/pools/client.rs
@@ -1,4 +1,5 @@
-//! The entry's side of the pools: asks the dispatcher of a pool and tells it what happens.
+//! The entry's side of a pool: asks its dispatcher for targets and reports the progress of
+//! requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,17 +24,13 @@
 
 use held_grant::WaitingAsk;
 
-/// An ask without a verdict is repeated after this long. A verdict may be lost with a connection
-/// that dies; repeating an ask with its number gives the same verdict again.
+/// Interval at which an ask without a verdict is repeated. A verdict may be lost with a connection
+/// that dies; a repeated ask with the same number gets the same verdict.
 const ASK_RETRY_INTERVAL: Duration = Duration::from_secs(3);
-/// Wait before another try to reach a dispatcher; the members may be about to change.
+/// Delay before another attempt to reach a dispatcher, since the members may be about to change.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Asks for a target and waits for the verdict. Dropping the future takes the ask back.
-///
-/// # Errors
-///
-/// The dispatcher's refusal.
+/// Asks for a target and waits for the verdict. Dropping the future cancels the ask.
 pub async fn ask(daemon: &Rc<Daemon>, pool: &PoolId, ask: Ask) -> Result<HeldGrant, Refuse> {
     let request = ask.request.clone();
     let (tx, mut rx) = oneshot::channel();
@@ -73,7 +70,7 @@
     }
 }
 
-/// Sends the ask to the pool's dispatcher, until one takes it.
+/// Sends the ask to the pool's dispatcher until one accepts it.
 async fn submit(daemon: &Rc<Daemon>, request: &RequestId) {
     loop {
         let Some((pool, dispatcher, ask)) = daemon.pool_client.next_ask(daemon, request) else {
@@ -108,8 +105,8 @@
     daemon.peers.call(&dispatcher.vm, req).await.ok()
 }
 
-/// Sends a message to the present dispatcher of a pool, once. What is lost here is told again
-/// by the next resync, or lapses at the dispatcher.
+/// Sends a message to the current dispatcher of a pool, once. A lost message is made up for by the
+/// next resync, or its request expires at the dispatcher.
 fn notify(daemon: &Rc<Daemon>, pool: &PoolId, message: PoolMessage) {
     let Some(dispatcher) = daemon.duties.dispatcher(pool) else {
         return;
@@ -121,13 +118,13 @@
     });
 }
 
-/// Takes in a verdict; whether a grant is used.
+/// Applies a verdict. Returns `true` if a grant is used.
 pub fn on_verdict(daemon: &Daemon, from: &MemberRef, verdict: Verdict) -> bool {
     daemon.pool_client.apply_verdict(from, verdict)
 }
 
-/// Tells the new dispatcher of each pool what this daemon has with it, whenever dispatchers or
-/// this daemon's own life change.
+/// Sends the requests of this daemon to the dispatcher of each pool whenever the dispatcher or this
+/// daemon's incarnation has changed.
 pub fn resync_dispatchers(daemon: &Rc<Daemon>) {
     let Ok(in_force) = daemon.in_force() else {
         return;
--- a/crates/lilaccrankd/src/pools/client/held_grant.rs
+++ b/crates/lilaccrankd/src/pools/client/held_grant.rs
@@ -1,4 +1,4 @@
-//! What an entry holds of a pool: an ask that waits, or a grant.
+//! What an entry holds of a pool: an ask that waits, or a grant in use.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use crate::daemon::Daemon;
 use crate::peers::message::PoolMessage;
 
-/// A used grant; dropping it without [`finish`](Self::finish) returns it unused.
+/// A grant in use. Dropping it without [`finish`](Self::finish) returns it unused.
 pub struct HeldGrant {
     ask: u64,
     daemon: Rc<Daemon>,
     ended: bool,
-    /// Time to the whole answer that the dispatcher expects.
+    /// Time to the complete answer that the dispatcher expects.
     pub expected: Option<Duration>,
     pool: PoolId,
     request: RequestId,
-    /// Where the request may be sent.
+    /// Target that the request may be sent to.
     pub target: TargetLife,
 }
 
-/// Takes an ask back when its caller stops waiting.
+/// Cancels an ask when its caller stops waiting.
 pub(super) struct WaitingAsk<'a> {
     pub(super) daemon: &'a Rc<Daemon>,
     pub(super) pool: &'a PoolId,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Tells what was seen of the request.
+    /// Reports the progress of the request to the dispatcher.
     pub fn report(&self, kind: ReportKind) {
         self.daemon.pool_client.record_report(&self.request, &kind);
         let report = Report {
@@ -71,7 +71,7 @@
         super::notify(&self.daemon, &self.pool, PoolMessage::Report(report));
     }
 
-    /// Gives the slot back.
+    /// Ends the request and releases the slot.
     pub fn finish(mut self, outcome: Outcome, decoded: u32, prefill: Option<u32>) {
         self.end(outcome, decoded, prefill);
     }
--- a/crates/lilaccrankd/src/pools/client/outstanding.rs
+++ b/crates/lilaccrankd/src/pools/client/outstanding.rs
@@ -1,4 +1,4 @@
-//! The requests that this daemon has with the pools, from their first ask to their end.
+//! Requests of this daemon at the pools, from the first ask to the end.
 
 use std::cell::RefCell;
 use std::time::Instant;
@@ -14,23 +14,23 @@
 
 use crate::daemon::Daemon;
 
-/// What this daemon has with the pools.
+/// Requests of this daemon at the pools.
 #[derive(Default)]
 pub struct PoolClient {
-    /// The dispatcher that was last told all, by pool.
+    /// The dispatcher that last received a resync, by pool.
     pub(super) dispatchers: RefCell<IndexMap<PoolId, MemberRef>>,
-    /// The life in which that was told.
+    /// The incarnation of this daemon in that resync.
     pub(super) me: RefCell<Option<MemberRef>>,
     requests: RefCell<IndexMap<RequestId, Outstanding>>,
-    /// Asks that wait in each pool, as its dispatcher said last.
+    /// Number of asks that wait in each pool, as its dispatcher last reported.
     pub(super) waiting: RefCell<IndexMap<PoolId, usize>>,
 }
 
-/// One request from its first ask to its end.
+/// One request, from its first ask to its end.
 struct Outstanding {
     ask: Ask,
     deadline: Option<Instant>,
-    /// The dispatcher last asked; only its grant of the last ask counts.
+    /// The dispatcher last asked; only its grant for the last ask counts.
     dispatcher: Option<MemberRef>,
     pool: PoolId,
     running: Option<RunningOn>,
@@ -44,7 +44,7 @@
 }
 
 impl PoolClient {
-    /// Requests that wait in a pool, as its dispatcher said last.
+    /// Number of requests that wait in each pool, as its dispatcher last reported.
     pub fn waiting(&self) -> IndexMap<PoolId, usize> {
         self.waiting.borrow().clone()
     }
@@ -69,7 +69,7 @@
         removed.map(|outstanding| outstanding.ask)
     }
 
-    /// Takes in a verdict; whether a grant is used.
+    /// Applies a verdict. Returns `true` if a grant is used.
     pub(super) fn apply_verdict(&self, from: &MemberRef, verdict: Verdict) -> bool {
         let request = match &verdict {
             Verdict::Grant(grant) => &grant.request,
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The ask to send now and to whom; `None` once there is a verdict.
+    /// The ask to send now, with its pool and dispatcher; `None` once there is a verdict.
     pub(super) fn next_ask(
         &self,
         daemon: &Daemon,
@@ -116,10 +116,10 @@
         Some((outstanding.pool.clone(), dispatcher, ask))
     }
 
-    /// Refuses what waits for a pool that the configuration no longer has.
+    /// Refuses requests that wait for a pool that the configuration no longer has.
     ///
-    /// Its dispatcher has been retired, and no daemon would make another one, so that these
-    /// requests would wait for ever.
+    /// Its dispatcher has been retired and no daemon will create another one, so these requests
+    /// would wait forever.
     pub(super) fn refuse_removed(&self, document: &Document) {
         let mut requests = self.requests.borrow_mut();
         let all = requests.values_mut();
@@ -135,8 +135,8 @@
         let mut waiting = Vec::new();
         for outstanding in requests.values_mut().filter(|r| r.pool == *pool) {
             if let Some(on) = &outstanding.running {
-                // A running request goes over to this daemon's present life too, or it would
-                // be dropped as one of the life that was declared dead.
+                // A running request moves to the current incarnation of this daemon too. Otherwise
+                // it would be dropped with the incarnation that was declared dead.
                 outstanding.ask.entry_incarnation = me.incarnation;
                 running.push(Running {
                     ask: outstanding.ask.clone(),
@@ -161,7 +161,7 @@
 }
 
 impl Outstanding {
-    /// Makes the ask one to `dispatcher`; asking another one voids the earlier ask.
+    /// Assigns the ask to `dispatcher`. Asking another dispatcher invalidates the earlier ask.
     fn assign_to(&mut self, dispatcher: &MemberRef, me: &MemberRef) {
         let is_other_dispatcher = self.dispatcher.as_ref() != Some(dispatcher);
         let is_new_incarnation = self.ask.entry_incarnation != me.incarnation;
@@ -178,7 +178,7 @@
 
     fn refuse_removed(&mut self) {
         if let Some(tx) = self.verdict.take() {
-            // Whoever waited may have gone.
+            // The receiver may have been dropped.
             let _ = tx.send(Verdict::Refuse(Refuse {
                 ask: self.ask.ask,
                 kind: ErrorKind::NoTarget,
@@ -194,8 +194,8 @@
             Verdict::Grant(grant) => grant.ask,
             Verdict::Refuse(refuse) => refuse.ask,
         };
-        // A dispatcher that was frozen or cut off may still grant what it was asked before another
-        // took over; both grants would send the request twice. Only the last one asked counts.
+        // A dispatcher that was frozen or partitioned may grant an ask after another one took over.
+        // Using both grants would send the request twice, so only the last one asked counts.
         if self.ask.ask != ask_number || self.dispatcher.as_ref() != Some(from) {
             return false;
         }
--- a/crates/lilaccrankd/src/pools/poller.rs
+++ b/crates/lilaccrankd/src/pools/poller.rs
@@ -1,5 +1,5 @@
-//! Reads what the engines of a pool report: their load, which lags, and their cache events,
-//! which come late and with gaps. One daemon for each pool asks, not each daemon.
+//! Polls the engines of a pool for their load, which lags, and their cache events, which arrive
+//! late and with gaps. Only the dispatcher of a pool polls it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,17 +21,17 @@
 use crate::daemon::Daemon;
 use crate::pools::server::ServedPool;
 
-/// Time between two readings of one target. Reports only correct the dispatcher's own estimate;
-/// at half a second the readings of twenty engines cost twice what a daemon may spend on all of
-/// its control.
+/// Interval between two polls of one target. Reports only correct the dispatcher's own estimate;
+/// polling twenty engines every half second cost twice what a daemon may spend on all of its
+/// control traffic.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
-/// Time for one reading.
+/// Timeouts of one request.
 const LIMITS: Limits = Limits {
     connect: Duration::from_millis(300),
     rest: client::PROVED_FOR,
     head: Duration::from_millis(500),
 };
-/// Largest report.
+/// Size limit of a report, in bytes.
 const REPORT_LIMIT: usize = 1 << 20;
 
 #[derive(Deserialize)]
@@ -54,7 +54,7 @@
     Stored,
 }
 
-/// Polls for as long as this daemon dispatches the pool.
+/// Polls while this daemon dispatches the pool.
 pub async fn run(daemon: Rc<Daemon>, served: Rc<ServedPool>, pool: PoolId) {
     let polling = poll(&daemon, &served, &pool);
     let retired = served.retired();
@@ -85,7 +85,7 @@
 fn engines(daemon: &Daemon, pool: &PoolId) -> Option<Vec<Target>> {
     let in_force = daemon.in_force().ok()?;
     let pool = in_force.document.pool(pool)?;
-    // Targets of the platform's list have reports of their own form.
+    // Targets of the platform's list report in another format.
     if pool.kind != PoolKind::Engine || pool.listed {
         return None;
     }
@@ -93,7 +93,7 @@
     Some(pool.targets.iter().filter(is_local).cloned().collect())
 }
 
-/// Reads one target; returns the last sequence number seen.
+/// Polls one target. Returns the last sequence number seen.
 async fn read_target(daemon: &Daemon, served: &ServedPool, target: &Target, after: u64) -> u64 {
     if let Some(load) = get::<Load>(daemon, target, "/load").await {
         let report = LoadReport {
--- a/crates/lilaccrankd/src/pools/rate_limits.rs
+++ b/crates/lilaccrankd/src/pools/rate_limits.rs
@@ -1,4 +1,4 @@
-//! The cell's shares of the rates that targets advertise.
+//! Computes the cell's shares of the rate limits that targets advertise.
 
 use std::cell::RefCell;
 
@@ -11,25 +11,25 @@
 use crate::daemon::Daemon;
 use crate::pools::server;
 
-/// Requests per second by target.
+/// Requests per second, by target.
 type Rates = IndexMap<LifeDigest, f64>;
-/// Shares by target.
+/// Shares of the cell, by target.
 type Shares = IndexMap<LifeDigest, Share>;
 
-/// The rate limits that are applied to the dispatchers of this daemon.
+/// Tracks the rate limits that were applied to the dispatchers of this daemon.
 #[derive(Default)]
 pub struct RateLimits {
-    /// Rates and cell as last applied; `None` if targets have changed since.
+    /// Rates and cell as last applied; `None` if the targets have changed since.
     applied: RefCell<Option<(Rates, CellId)>>,
 }
 
 impl RateLimits {
-    /// The dispatchers have other targets than before.
+    /// Records that the dispatchers have other targets than before.
     pub fn targets_changed(&self) {
         self.applied.take();
     }
 
-    /// Calls `set` with the shares of each pool if they may be others than before.
+    /// Calls `set` with the shares of each pool if they may have changed.
     pub fn apply(&self, daemon: &Daemon, set: impl FnOnce(&dyn Fn(&Pool) -> Shares)) {
         let current = (daemon.advisories.rate_limits(), server::cell(daemon).id());
         if self.applied.borrow().as_ref() == Some(&current) {
--- a/crates/lilaccrankd/src/pools/server.rs
+++ b/crates/lilaccrankd/src/pools/server.rs
@@ -1,4 +1,4 @@
-//! The dispatcher's side of the pools that this daemon has the duty for.
+//! The dispatcher's side of the pools that this daemon dispatches.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -29,28 +29,28 @@
 use crate::pools::poller;
 use crate::pools::rate_limits::RateLimits;
 
-/// Longest wait of a new dispatcher for the entries to tell what they have.
+/// Longest time that a new dispatcher waits for the entries to report their requests.
 const HANDOVER_GRACE: Duration = Duration::from_secs(1);
-/// Tries to deliver a verdict; an entry that missed them all asks again.
+/// Attempts to deliver a verdict. An entry that missed them all asks again.
 const DELIVERY_ATTEMPTS: u32 = 3;
-/// Wait between two tries.
+/// Delay between two attempts.
 const DELIVERY_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Silence of an engine with running requests that counts as a hang.
+/// Silence of an engine with running requests after which it counts as hung.
 const ENGINE_HANG_TIMEOUT: Duration = Duration::from_millis(500);
-/// A plain service may be silent as long as its requests may take.
+/// The same for a plain service, which may be silent for as long as its requests may take.
 const SERVICE_HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The dispatchers that run here.
+/// The dispatchers of this daemon.
 #[derive(Default)]
 pub struct PoolServer {
-    /// The daemons that dispatch the same targets, where each daemon dispatches its own requests.
+    /// The daemons that share targets with this one, where each daemon dispatches its own requests.
     cell: RefCell<Rc<cells::Cell>>,
     entries: RefCell<Vec<Entry>>,
     rate_limits: RateLimits,
     served: RefCell<IndexMap<PoolId, Rc<ServedPool>>>,
 }
 
-/// One dispatcher in one life of this daemon.
+/// The dispatcher of one pool, in one incarnation of this daemon.
 pub struct ServedPool {
     /// The dispatcher.
     pub dispatcher: Dispatcher<MonoioClock>,
@@ -61,7 +61,7 @@
 }
 
 impl ServedPool {
-    /// Completes once another daemon or another life has the duty.
+    /// Completes once another daemon or another incarnation has the duty.
     pub async fn retired(&self) {
         while !self.retired.get() {
             let listener = self.retire_event.listen();
@@ -77,7 +77,7 @@
     }
 }
 
-/// Answers a message about a pool.
+/// Handles a message about a pool.
 pub fn handle(daemon: &Rc<Daemon>, req: PoolRequest) -> PoolReply {
     if let PoolMessage::Verdict { from, verdict } = req.message {
         return if client::on_verdict(daemon, &from, verdict) {
@@ -124,7 +124,7 @@
             Either::Right(_) => return,
         }
     };
-    // This call was taken back, or replaced by a repeat of the same ask, which gets the verdict.
+    // This call was cancelled, or replaced by a repetition of the same ask, which gets the verdict.
     if matches!(&verdict, Verdict::Refuse(refuse) if refuse.kind == ErrorKind::Cancelled) {
         return;
     }
@@ -180,7 +180,8 @@
     false
 }
 
-/// The dispatcher of a pool if this daemon has the duty; made at the first message.
+/// Returns the dispatcher of a pool if this daemon has the duty. It is created at the first
+/// message.
 fn served_pool(daemon: &Rc<Daemon>, pool: &PoolId) -> Option<Rc<ServedPool>> {
     if !daemon.duties.is_dispatcher(pool) {
         return None;
@@ -257,7 +258,7 @@
     Tier::try_from(document.tiers.len().saturating_sub(1)).unwrap_or(Tier::MAX)
 }
 
-/// Daemons that may have requests: a leaving one finishes what it has.
+/// Members that may have requests. A leaving one finishes the requests that it has.
 fn live_entries(daemon: &Daemon) -> Vec<Entry> {
     let members = daemon.membership.all();
     let alive = members.into_iter().filter(|m| m.state != State::Dead);
@@ -269,7 +270,8 @@
         .collect()
 }
 
-/// Retires what is no longer this daemon's duty, and forgets entries that have died.
+/// Retires the dispatchers of pools that are no longer this daemon's duty, and drops the requests
+/// of entries that have died.
 pub fn members_changed(daemon: &Rc<Daemon>) {
     let me = daemon.duties.me();
     let server = &daemon.pool_server;
@@ -292,8 +294,8 @@
     }
 }
 
-/// Finds this daemon's cell among the present members. If that is another one than before, the
-/// dispatchers here get other targets.
+/// Computes this daemon's cell from the live members. If it has changed, the dispatchers get other
+/// targets.
 fn update_cell(daemon: &Rc<Daemon>) {
     if !daemon.duties.is_dispatch_local() {
         return;
@@ -304,22 +306,23 @@
     let previous = daemon.pool_server.cell.replace(Rc::clone(&cell));
     daemon.quotas.set_cell(&cell, &members);
     if previous != cell {
-        log::info!(mates = cell.mates().len(), members = members.len(); "cell of this daemon");
+        log::info!(mates = cell.mates().len(), members = members.len(); "cell of this daemon changed");
         configuration_changed(daemon);
     }
 }
 
-/// This daemon's cell; without any other daemon where only one dispatches a pool.
+/// The cell of this daemon, without other members where only one daemon dispatches a pool.
 pub fn cell(daemon: &Daemon) -> Rc<cells::Cell> {
     Rc::clone(&daemon.pool_server.cell.borrow())
 }
 
-/// Whether any dispatcher runs here.
+/// Returns `true` if any dispatcher runs on this daemon.
 pub fn is_serving(daemon: &Daemon) -> bool {
     !daemon.pool_server.served.borrow().is_empty()
 }
 
-/// Hands the targets of a new configuration, or of a new list of vms, to the dispatchers.
+/// Sets the targets of all dispatchers after a change of the configuration or of the list of
+/// targets.
 pub fn configuration_changed(daemon: &Rc<Daemon>) {
     let Ok(in_force) = daemon.in_force() else {
         return;
@@ -335,8 +338,8 @@
     });
 }
 
-/// Tells a dispatcher its targets: of those here, and in data centres that act as one with it,
-/// those of the cell.
+/// Sets the targets of a dispatcher: those of the cell, out of the targets in this data centre and
+/// in data centres that act as one with it.
 fn set_targets(daemon: &Daemon, dispatcher: &Dispatcher<MonoioClock>, configured: &Pool) {
     let mut pool = Pool {
         targets: near_targets(daemon, configured),
@@ -350,14 +353,14 @@
     dispatcher.set_targets_where(&pool, |data_centre| daemon.cfg.is_near(data_centre));
 }
 
-/// Targets of a pool, here and in data centres that act as one with it.
+/// Targets of a pool in this data centre and in data centres that act as one with it.
 pub(super) fn near_targets(daemon: &Daemon, configured: &Pool) -> Vec<Target> {
     let mut targets = daemon.live_list.apply(configured).targets;
     targets.retain(|target| daemon.cfg.is_near(&target.data_centre));
     targets
 }
 
-/// What this daemon has on the targets of each pool.
+/// Load of this daemon on the targets of each pool.
 pub fn digests(daemon: &Daemon) -> Vec<(PoolId, Digest)> {
     let served = daemon.pool_server.served.borrow();
     let digests = served
@@ -366,14 +369,14 @@
     digests.collect()
 }
 
-/// Takes in what another daemon has on the targets of a pool.
+/// Applies the load of another daemon on the targets of a pool.
 pub fn apply_digest(daemon: &Rc<Daemon>, pool: &PoolId, from: &VmId, digest: Digest) {
     if let Some(served) = served_pool(daemon, pool) {
         served.dispatcher.apply_digest(from, digest);
     }
 }
 
-/// Applies the advertised rate limits to the dispatchers here.
+/// Applies the advertised rate limits to the dispatchers of this daemon.
 pub fn apply_rate_limits(daemon: &Daemon) {
     let Ok(in_force) = daemon.in_force() else {
         return;
@@ -388,7 +391,7 @@
     });
 }
 
-/// State of the dispatchers that run here.
+/// Status of the dispatchers of this daemon, by pool.
 pub fn status(daemon: &Daemon) -> IndexMap<PoolId, Status> {
     let served = daemon.pool_server.served.borrow();
     served
--- a/crates/lilaccrankd/src/targets.rs
+++ b/crates/lilaccrankd/src/targets.rs
@@ -1,4 +1,4 @@
-//! What is spoken with targets: model engines and plain services.
+//! Communication with targets: model engines and plain services.
 
 pub mod call;
 pub mod engine_run;
--- a/crates/lilaccrankd/src/targets/call.rs
+++ b/crates/lilaccrankd/src/targets/call.rs
@@ -1,4 +1,4 @@
-//! Sends something to a target that must not be sent twice.
+//! Sends requests to a target that must not be sent twice.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 
 use crate::callers::refusal::{Refusal, Result};
 
-/// Time for a connection to a target.
+/// Timeout of connecting to a target.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Sends `req` on a new connection and waits for the head of its answer.
+/// Sends `req` on a new connection and waits for the head of the answer.
 ///
-/// An idle connection may have died without a word, and a request sent on it could neither be
-/// called not run nor be sent again.
+/// An idle connection may be dead without notice. Whether a request sent on it has run would be
+/// unknown, so it could neither be refused as not run nor be sent again.
 ///
 /// # Errors
 ///
--- a/crates/lilaccrankd/src/targets/engine_run.rs
+++ b/crates/lilaccrankd/src/targets/engine_run.rs
@@ -1,4 +1,4 @@
-//! Runs one granted request on an engine and writes its answer.
+//! Runs one granted request on an engine and writes the answer.
 
 use std::future::Future;
 use std::time::{Duration, Instant};
@@ -14,35 +14,35 @@
 use crate::request::answer_buffer::AnswerBuffer;
 use crate::targets::engine_stream::EngineStream;
 
-/// Longest wait for a cancel before the slot is given back and the caller is told.
+/// Longest wait for a cancel before the slot is released and the caller gets its refusal.
 ///
-/// An engine that answers does so in milliseconds, and its slot is free then. One that can't be
-/// reached would hold up a refusal for as long as connecting and answering may take; the cancel
-/// goes on without the caller.
+/// An engine that responds does so within milliseconds, and its slot is then free. One that can't
+/// be reached would delay the refusal by the timeouts of connecting and answering; the cancel
+/// continues in the background.
 const CANCEL_TIMEOUT: Duration = Duration::from_millis(100);
-/// How often progress is reported while tokens come.
+/// Interval of progress reports while tokens arrive.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the engine was seen to do, for the dispatcher's estimate of it.
+/// Receives the observed progress of an engine, for the dispatcher's estimate of it.
 pub trait Observer {
-    /// The first token came this long after sending.
+    /// Called when the first token arrived, with the time since the request was sent.
     fn first_token(&self, after: Duration);
-    /// More tokens came, with this mean time between them.
+    /// Called when more tokens arrived, with the mean time between them.
     fn progress(&self, tokens: u32, step: Duration);
 }
 
-/// What came of a request at its target.
+/// Outcome of a request at its target.
 pub struct RunOutcome {
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub decoded: u32,
-    /// Tokens of prefill that the engine computed, if it said so.
+    /// Number of prefill tokens that the engine computed, if reported.
     pub prefill: Option<u32>,
-    /// Whether the answer is whole.
+    /// `Ok` if the answer is complete.
     pub result: Result<()>,
 }
 
 impl RunOutcome {
-    /// An end of which nothing else is known.
+    /// Outcome without any token counts.
     #[must_use]
     pub fn new(result: Result<()>) -> Self {
         Self {
@@ -53,17 +53,17 @@
     }
 }
 
-/// A request as the engine gets it.
+/// A request to an engine.
 pub struct EngineRequest<'a> {
-    /// Most bytes of events.
+    /// Size limit of the events, in bytes.
     pub answer_limit: usize,
-    /// Body, streaming.
+    /// Body, which asks for a stream.
     pub body: Bytes,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: Option<&'a str>,
-    /// Form of the answer.
+    /// Format of the answer.
     pub format: AnswerFormat,
-    /// Whether the caller reads events.
+    /// Set if the caller reads the answer as events.
     pub stream: bool,
 }
 
@@ -94,7 +94,7 @@
     };
     match &outcome {
         Ok(()) => engine.finish(),
-        // Whatever went wrong, the engine may still be computing for nobody.
+        // The engine may still be computing, though nobody needs the answer.
         Err(refusal) if refusal.ran == Ran::Maybe => {
             let cancelling = monoio::spawn(engine.cancel());
             let _ = monoio::time::timeout(CANCEL_TIMEOUT, cancelling).await;
--- a/crates/lilaccrankd/src/targets/engine_stream.rs
+++ b/crates/lilaccrankd/src/targets/engine_stream.rs
@@ -1,4 +1,4 @@
-//! The events of one request on an engine, over as many connections as it takes.
+//! The event stream of one request on an engine, resumed on new connections if necessary.
 
 use std::pin::Pin;
 use std::time::Duration;
@@ -24,30 +24,30 @@
 
 /// Time for an engine to answer a resume or a cancel.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(1);
-/// Tries to take up a stream again; more would keep a caller waiting on a dead engine.
+/// Maximum number of resumes. More would keep a caller waiting on a dead engine.
 const MAX_RESUMES: u32 = 2;
 
 type Events = Pin<Box<dyn Stream<Item = std::result::Result<Event, String>>>>;
 
-/// Why a stream has to be taken up again.
+/// Why a stream has to be resumed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Cause {
-    /// It ended or broke before its last event.
+    /// The stream ended or broke before its last event.
     Closed,
-    /// Nothing came.
+    /// No event arrived in time.
     Silent,
 }
 
 /// How long an engine may be silent.
 #[derive(Clone, Copy, Debug)]
 pub struct SilenceTimeouts {
-    /// Until the first event.
+    /// Timeout of the first event.
     pub first: Duration,
-    /// Between events.
+    /// Timeout between events.
     pub next: Duration,
 }
 
-/// One request on an engine.
+/// Event stream of one request on an engine.
 pub struct EngineStream {
     address: String,
     client: Client,
@@ -60,7 +60,7 @@
 }
 
 impl EngineStream {
-    /// A stream that has sent nothing yet.
+    /// Creates a stream that has sent nothing yet.
     #[must_use]
     pub fn new(client: Client, address: String, id: RequestId, timeouts: SilenceTimeouts) -> Self {
         Self {
@@ -95,11 +95,11 @@
         }
     }
 
-    /// The next event; `None` if the engine closed the stream.
+    /// Returns the next event; `None` if the engine closed the stream.
     ///
     /// # Errors
     ///
-    /// If the engine stays silent or the stream breaks and can't be taken up again.
+    /// If the engine stays silent, or if the stream breaks and can't be resumed.
     pub async fn next(&mut self) -> Result<Option<String>> {
         loop {
             let timeout = if self.received == 0 {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Ends a whole stream: its connection can serve another request.
+    /// Ends a complete stream and releases its connection for other requests.
     pub fn finish(mut self) {
         self.events = None;
         if let Some(connection) = self.connection.take() {
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Tells the engine to stop. Closing the connection alone would not do: the engine keeps
-    /// a stream for a while so that it can be resumed.
+    /// Cancels the request at the engine. Closing the connection would not suffice: the engine
+    /// keeps a stream for a while so that it can be resumed.
     pub async fn cancel(mut self) {
         self.events = None;
         self.connection = None;
@@ -176,11 +176,11 @@
         Ok(())
     }
 
-    /// Takes the stream up where it broke, on a new connection.
+    /// Resumes the stream on a new connection, after the last event received.
     ///
-    /// Something between the ends may drop an open connection without closing it; events then
-    /// stop although the engine works on. Asking the same engine for the same stream runs
-    /// nothing again, so this is safe for every request.
+    /// A device on the network path may drop an open connection without closing it; events then
+    /// stop although the engine continues. Requesting the same stream from the same engine does not
+    /// run anything again, so this is safe for every request.
     async fn resume(&mut self, cause: Cause) -> Result<()> {
         self.events = None;
         self.connection = None;
@@ -192,8 +192,8 @@
                 return Ok(());
             }
         }
-        // Once it has begun to answer, the caller has to hear of a broken answer, whether the
-        // target then died or hung.
+        // Once the answer has begun, the caller gets a broken answer, no matter whether the target
+        // died or hung.
         if cause == Cause::Closed || self.received > 0 {
             let message = "the target stopped in its answer, which could not be resumed";
             let refusal = Refusal::new(ErrorKind::BrokenAnswer, message);
--- a/crates/lilaccrankd/src/targets/forward.rs
+++ b/crates/lilaccrankd/src/targets/forward.rs
@@ -1,7 +1,7 @@
-//! Passes a request on to a target, and its answer back, untouched.
+//! Forwards a request to a target, and the answer to the caller, unmodified.
 //!
-//! Nothing reaches the caller before the first piece of the answer that can stand by itself: the
-//! whole answer if it is short, the first event of a stream. Up to then another target can still
+//! Nothing is sent to the caller before the first part of the answer that is valid by itself: a
+//! short answer as a whole, or the first event of a stream. Until then, another target can still
 //! answer instead.
 
 use std::time::{Duration, Instant};
@@ -26,81 +26,82 @@
 /// Result of one send.
 pub type Result<T, E = SendFailure> = std::result::Result<T, E>;
 
-/// Largest answer that is held until it is whole. Answers of plain services have a few kilobytes;
-/// what is longer passes on piece by piece.
+/// Size up to which an answer is held back until it is complete. Answers of plain services have a
+/// few kilobytes; longer ones are forwarded piece by piece.
 const HOLD_BACK_LIMIT: usize = 256 << 10;
-/// Largest answer of a target that did not run the request, which is read so that its connection
-/// can serve another one.
+/// Size limit of the answer of a target that did not run the request. The answer is read so that
+/// the connection can be used again.
 const NOT_RUN_BODY_LIMIT: usize = 64 << 10;
 
-/// Bounds of one send.
+/// Limits of one send.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Largest answer in bytes.
+    /// Size limit of the answer, in bytes.
     pub answer_limit: usize,
-    /// Time for a connection.
+    /// Timeout of connecting.
     pub connect: Duration,
-    /// Time to the first piece of the answer.
+    /// Timeout of the first part of the answer.
     pub first: Duration,
-    /// Time between two pieces.
+    /// Timeout between two parts.
     pub next: Duration,
 }
 
-/// What is seen of an answer while it comes.
+/// Observes an answer while it arrives.
 pub trait Observer {
-    /// An event came; `first` if it is the first one.
+    /// Called for each event; `first` for the first one.
     fn event(&self, first: bool, since_sent: Duration);
 
-    /// The answer's head advertised this rate limit.
+    /// Called with the rate limit that the head of an answer advertises.
     fn rate_limit(&self, limit: RateLimit);
 }
 
-/// One send that gave no whole answer.
+/// A send that gave no complete answer.
 #[derive(Debug)]
 pub struct SendFailure {
-    /// The target's own answer, for the caller if no other target gives a better one.
+    /// Answer of the target, for the caller if no other target gives a better one.
     pub answer: Option<(Head, Bytes)>,
-    /// What it says of the request.
+    /// How the send failed.
     pub failure: Failure,
-    /// What the caller is told.
+    /// Refusal for the caller.
     pub refusal: Refusal,
 }
 
-/// The answer as far as it has reached the caller.
+/// The part of the answer that was delivered to the caller.
 #[derive(Debug, Default)]
 pub struct Delivered {
-    /// Whether the last answer was delimited by its connection, which a crash ends as well.
+    /// Set if the last answer was delimited by the end of its connection, which a crash causes as
+    /// well.
     pub ended_with_connection: bool,
-    /// Events passed on.
+    /// Number of events delivered.
     pub events: u32,
-    /// Id of the last event that was passed on.
+    /// Id of the last event delivered.
     pub last_event: Option<String>,
 }
 
-/// Sends requests to targets.
+/// Sends requests to targets and forwards the answers.
 pub struct Forwarder<'a, O> {
-    /// Bounds of the send.
+    /// Limits of the send.
     pub bounds: Bounds,
-    /// Connections.
+    /// Client that keeps the connections.
     pub client: &'a Client,
-    /// Who is told.
+    /// Observer of the answer.
     pub observer: &'a O,
-    /// What targets speak.
+    /// Protocol of the targets.
     pub protocol: &'a dyn TargetProtocol,
-    /// Longest rest of an idle connection that is used again.
+    /// Longest idle time of a connection that is used again.
     pub rest: Duration,
-    /// Where the answer goes.
+    /// Buffer that the answer is written to.
     pub buffer: &'a AnswerBuffer,
-    /// Whether the answer is a stream of events.
+    /// Set if the answer is a stream of events.
     pub stream: bool,
 }
 
 impl<O: Observer> Forwarder<'_, O> {
-    /// Sends a request once and passes its answer on.
+    /// Sends a request once and forwards its answer.
     ///
     /// # Errors
     ///
-    /// There is no whole answer; what came of it stands in `delivered` and in the error.
+    /// If there is no complete answer. `delivered` and the error hold what arrived of it.
     pub async fn send(
         &self,
         outgoing: &OutgoingRequest<'_>,
@@ -110,7 +111,7 @@
         let sent_at = Instant::now();
         let (head, body, connection) = self.exchange(&outgoing.target.address, req).await?;
         if head.headers.contains_key(CONTENT_ENCODING) {
-            // Callers ask for plain bodies; what is coded was made by something in between.
+            // Callers ask for unencoded bodies, so an encoded one comes from an intermediary.
             return Err(failed(ErrorKind::BrokenAnswer, "the answer is coded"));
         }
         delivered.ended_with_connection = ends_with_connection(&head);
@@ -180,7 +181,7 @@
         failed
     }
 
-    /// Passes on an answer that is no stream of events.
+    /// Forwards an answer that is not a stream of events.
     async fn forward_whole(
         &self,
         head: Parts,
@@ -222,8 +223,8 @@
         Ok(())
     }
 
-    /// Passes on whole events only: what is left of one that broke off could not be told from
-    /// its beginning by a caller that reads on at another target.
+    /// Forwards complete events only. A caller that continues at another target could not tell the
+    /// rest of a truncated event from its beginning.
     async fn forward_events(
         &self,
         head: Parts,
@@ -277,8 +278,8 @@
 }
 
 impl Delivered {
-    /// Whether an event comes after all that were passed on. A target that goes on after an event
-    /// may repeat it.
+    /// Returns `true` if an event comes after all that were delivered. A target that resumes after
+    /// an event may repeat it.
     fn is_next(&self, id: Option<&str>) -> bool {
         let (Some(last), Some(id)) = (self.last_event.as_deref(), id) else {
             return true;
@@ -320,7 +321,7 @@
     }
 }
 
-/// Whether an answer has no length and is delimited by its connection.
+/// Returns `true` if an answer has no length and is delimited by the end of its connection.
 fn ends_with_connection(head: &Parts) -> bool {
     let framed = [CONTENT_LENGTH, TRANSFER_ENCODING];
     !framed.iter().any(|name| head.headers.contains_key(name))
--- a/crates/lilaccrankd/src/targets/live_list.rs
+++ b/crates/lilaccrankd/src/targets/live_list.rs
@@ -1,11 +1,12 @@
-//! The platform's list of what lives: targets that came or leave. It lags.
+//! The platform's list of targets that are live or leaving. It lags.
 //!
-//! The watchers of a data centre read it, the other daemons hear it from them, so that the calls
-//! at the platform grow with the data centres and not with the daemons.
+//! The watchers of a data centre read it and pass it on to the other daemons, so that the calls to
+//! the platform grow with the data centres and not with the daemons.
 //!
-//! While the platform is away, targets can't renew their entries, and entries of targets that live
-//! lapse. Each daemon judges by itself: what is missing after a silence of the platform, by
-//! whichever way it is heard, stays for as long as it takes a living target to come back.
+//! While the platform is unreachable, targets can't renew their entries, and entries of live
+//! targets lapse. Each daemon decides by itself: targets that are missing after an outage of the
+//! platform, as seen directly or through other daemons, are kept for as long as a live target needs
+//! to come back.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -25,37 +26,37 @@
 use crate::pools::server;
 use crate::targets::newest_instances::NewestInstances;
 
-/// Time between two looks at whether lapsed targets would be back by now. What is still missing then
-/// has gone, and is to get nothing from that moment on.
+/// Interval at which the end of the wait for lapsed targets is checked. Targets that are still
+/// missing then are gone, and must get no requests from that moment on.
 const LAPSED_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the platform says of targets.
+/// The platform's list of targets.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Listing {
-    /// Vms that are leaving: the targets on them get nothing new.
+    /// VMs that are leaving. The targets on them get no new requests.
     pub leaving: IndexSet<VmId>,
-    /// Grows with each change, where the platform counts them; else 0.
+    /// Revision, which grows with each change; 0 if the platform does not count them.
     pub revision: u64,
-    /// Targets by pool, for pools that name none themselves.
+    /// Targets by pool, for pools whose targets are listed by the platform.
     pub targets: IndexMap<PoolId, Vec<Target>>,
-    /// Entries that name no target to use, and what is wrong with each.
+    /// Entries that name no usable target, with the reason for each.
     pub unusable: IndexMap<String, String>,
 }
 
-/// What this daemon knows of the list.
+/// State of the list on this daemon.
 #[derive(Default)]
 pub struct LiveList {
     confirmed: Cell<Option<BootTime>>,
-    /// Targets that went missing and may only have lapsed.
+    /// Targets that are missing from the list but may only have lapsed.
     lapsed: RefCell<IndexMap<TargetId, (PoolId, Target)>>,
     listing: RefCell<Rc<Listing>>,
     instances: RefCell<NewestInstances>,
-    /// Told when a list is taken over.
+    /// Notified when a list is applied.
     updated: Event,
 }
 
 impl Listing {
-    /// Whether this list is to take the place of `known`. A list that went another way would bring
+    /// Returns `true` if this list replaces `known`. An older list that arrives late would bring
     /// back targets that have left.
     #[must_use]
     pub fn replaces(&self, known: &Self) -> bool {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Logs entries that have become unusable, or are so for another reason.
+    /// Logs entries that have become unusable, or are so for another reason than before.
     fn log_unusable(&self, known: &Self) {
         let entries = self.unusable.iter();
         for (entry, why) in entries.filter(|(entry, why)| known.unusable.get(*entry) != Some(*why))
@@ -74,7 +75,7 @@
         }
     }
 
-    /// Every target with its pool.
+    /// Iterates over all targets with their pools.
     pub fn all(&self) -> impl Iterator<Item = (&PoolId, &Target)> {
         let pools = self.targets.iter();
         pools.flat_map(|(pool, targets)| targets.iter().map(move |target| (pool, target)))
@@ -82,24 +83,25 @@
 }
 
 impl LiveList {
-    /// The list was the newest at `at`.
+    /// Records that the list was the newest at `at`.
     pub fn confirm(&self, at: BootTime) {
         self.confirmed.set(self.confirmed.get().max(Some(at)));
     }
 
-    /// How long ago the list was known to be the newest; `None` if it never was.
+    /// Time since the list was known to be the newest; `None` if it never was.
     #[must_use]
     pub fn age(&self, now: BootTime) -> Option<Duration> {
         Some(now.saturating_sub(self.confirmed.get()?))
     }
 
-    /// What the platform said last.
+    /// The last list of the platform.
     #[must_use]
     pub fn listing(&self) -> Rc<Listing> {
         Rc::clone(&self.listing.borrow())
     }
 
-    /// The pool with the targets that the list adds, and with those on leaving vms draining.
+    /// Returns the pool with the targets that the list adds, and with those on leaving VMs set to
+    /// draining.
     #[must_use]
     pub fn apply(&self, pool: &Pool) -> Pool {
         let listing = self.listing.borrow();
@@ -121,7 +123,7 @@
         pool
     }
 
-    /// A target of the list.
+    /// Finds a target of the list by its instance.
     #[must_use]
     pub fn find(&self, pool: &str, instance: &TargetLife) -> Option<Target> {
         let listing = self.listing.borrow();
@@ -134,20 +136,20 @@
             .cloned()
     }
 
-    /// Names of targets whose newest life is remembered.
+    /// Number of targets whose newest instance is remembered.
     #[must_use]
     pub fn instance_count(&self) -> usize {
         self.instances.borrow().len()
     }
 
-    /// Whether a later life of the same target was heard of.
+    /// Returns `true` if a later instance of the same target is known.
     fn is_superseded(&self, target: &Target) -> bool {
         self.instances
             .borrow()
             .is_superseded(&TargetLife::of(target))
     }
 
-    /// Completes once a later life of the same target is heard of.
+    /// Completes once a later instance of the same target is known.
     pub async fn superseded(&self, instance: &TargetLife) {
         while !self.instances.borrow().is_superseded(instance) {
             let listener = self.updated.listen();
@@ -157,8 +159,8 @@
         }
     }
 
-    /// Takes over a list if it replaces the one known; whether it did. `may_lapse` if entries of
-    /// targets that live may be missing from it.
+    /// Replaces the list if the new one is newer. Returns `true` if it did. Set `may_lapse` if
+    /// entries of live targets may be missing from it.
     pub fn update(&self, mut listing: Listing, may_lapse: bool) -> bool {
         let known = self.listing();
         if !listing.replaces(&known) {
@@ -169,7 +171,7 @@
         let mut lapsed = self.lapsed.borrow_mut();
         lapsed.retain(|id, _| may_lapse && !listed.contains(id));
         if may_lapse {
-            // One that had said that it leaves has left.
+            // A target that was draining has left; it did not lapse.
             let missing = known.all().filter(|(_, target)| {
                 target.state == TargetState::Live && !listed.contains(&target.id)
             });
@@ -191,17 +193,17 @@
         true
     }
 
-    /// Drops targets that did not come back; whether there were any.
+    /// Drops lapsed targets. Returns `true` if there were any.
     pub fn forget_lapsed(&self) -> bool {
         let lapsed = self.lapsed.take();
         for id in lapsed.keys() {
-            log::info!(target_id = id; "a target did not come back after the silence: it has gone");
+            log::info!(target_id = id; "dropped a lapsed target that did not come back after the outage");
         }
         !lapsed.is_empty()
     }
 }
 
-/// Takes over a list that the daemon was told.
+/// Applies a list that the daemon received.
 pub fn apply_listing(daemon: &Rc<Daemon>, listing: Listing) {
     let may_lapse = daemon.heard.may_lapse(MonoioClock.boot());
     let previous = daemon.live_list.listing();
@@ -212,7 +214,7 @@
         .all()
         .filter(|(_, target)| daemon.live_list.is_superseded(target))
     {
-        log::info!(born = ended.born, target_id = ended.id; "a target has started again");
+        log::info!(born = ended.born, target_id = ended.id; "target restarted");
         daemon.client.forget(&ended.address);
     }
     let unusable = daemon.live_list.listing().unusable.len();
@@ -225,7 +227,7 @@
 }
 
 async fn wait_for_lapsed(daemon: Rc<Daemon>) {
-    // Other daemons' words may tell of a later end of the silence than this one's own.
+    // Messages of other daemons may report a later end of the outage than this daemon saw.
     while daemon.heard.may_lapse(MonoioClock.boot()) {
         monoio::time::sleep(LAPSED_POLL_INTERVAL).await;
     }
--- a/crates/lilaccrankd/src/targets/native_protocol.rs
+++ b/crates/lilaccrankd/src/targets/native_protocol.rs
@@ -1,4 +1,4 @@
-//! The product's own way to pass requests on to plain services.
+//! The native protocol for forwarding requests to plain services.
 
 use hyper::Request;
 use hyper::header::{HOST, HeaderValue};
@@ -8,12 +8,12 @@
 use crate::targets::engine_stream::{REQUEST_ID, REQUEST_KEY};
 use crate::targets::protocol::{AnswerKind, OutgoingRequest, TargetProtocol};
 
-/// The product's own protocol.
+/// The native (non-platform) protocol of targets.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NativeTargetProtocol;
 
 impl TargetProtocol for NativeTargetProtocol {
-    /// The body untouched, named by the request's id and key.
+    /// Keeps the body unmodified and adds headers with the request's id and key.
     fn request(&self, outgoing: &OutgoingRequest<'_>) -> Request<Body> {
         let proxied = outgoing.proxied;
         let mut req = Request::new(body::full(proxied.body.clone()));
--- a/crates/lilaccrankd/src/targets/newest_instances.rs
+++ b/crates/lilaccrankd/src/targets/newest_instances.rs
@@ -1,9 +1,9 @@
-//! Which life of each target is the newest.
+//! Remembers the newest instance of each target.
 //!
-//! A target that starts again keeps its name, and words of its earlier life may come late: from a
-//! store that took them late, or from a daemon that heard them there. Taken for the newest, they
-//! would bring back the address or the leaving of a process that is gone. A life that began later
-//! therefore stays, whatever is heard afterwards.
+//! A target that restarts keeps its id, and entries of the earlier instance may arrive late, from a
+//! store that was slow or from a daemon that read it. Taken for the newest, they would bring back
+//! the address or the draining state of a process that is gone. The instance that started last
+//! therefore always wins.
 
 use indexmap::{IndexMap, IndexSet};
 use lilaccrank::document::Target;
@@ -12,37 +12,37 @@
 
 use crate::targets::live_list::Listing;
 
-/// Names that are remembered beside those that are listed. Targets of two years' size are replaced
-/// some hundred times a day: a late word of one comes within minutes.
+/// Number of ids remembered beside those that are listed. At the planned size, targets are replaced
+/// some hundred times a day, and a late entry arrives within minutes.
 const MAX_UNLISTED: usize = 4_096;
 
-/// The newest life of each target that was heard of.
+/// The newest known instance of each target.
 #[derive(Debug, Default)]
 pub struct NewestInstances {
     newest: IndexMap<TargetId, Born>,
 }
 
 impl NewestInstances {
-    /// Whether a later life of the same target was heard of.
+    /// Returns `true` if a later instance of the same target is known.
     #[must_use]
     pub fn is_superseded(&self, instance: &TargetLife) -> bool {
         self.newest.get(&instance.id) > Some(&instance.born)
     }
 
-    /// Names that are remembered.
+    /// Number of ids that are remembered.
     #[must_use]
     pub fn len(&self) -> usize {
         self.newest.len()
     }
 
-    /// Whether none is.
+    /// Returns `true` if no id is remembered.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.newest.is_empty()
     }
 
-    /// Puts the newest known life in the place of earlier ones in `listing`, and remembers those that
-    /// are new. An earlier life whose target is known no more is left out.
+    /// Replaces earlier instances in `listing` by the newest known ones, and remembers new
+    /// instances. An earlier instance whose target is no longer known is removed.
     pub fn resolve(&mut self, listing: &mut Listing, known: &Listing) {
         for (pool, targets) in &mut listing.targets {
             let resolved = std::mem::take(targets).into_iter();
@@ -67,7 +67,7 @@
             born = instance.born,
             kept = later.is_some(),
             target_id = instance.id;
-            "an earlier life of a target was heard late"
+            "replaced or removed a late entry of an earlier target instance"
         );
         later.cloned()
     }
--- a/crates/lilaccrankd/src/targets/protocol.rs
+++ b/crates/lilaccrankd/src/targets/protocol.rs
@@ -1,5 +1,5 @@
-//! The port to targets to which requests are passed on: what a request looks like there, and what
-//! the head of an answer says.
+//! Interface to the protocols of targets: how a request is forwarded, and what the head of an
+//! answer means.
 
 use std::time::Duration;
 
@@ -12,57 +12,57 @@
 use crate::callers::caller_request::CallerRequest;
 use crate::targets::proxied_request::ProxiedRequest;
 
-/// What targets speak.
+/// Protocol of targets that requests are forwarded to.
 pub trait TargetProtocol {
-    /// The request as a target gets it.
+    /// Builds the request to a target.
     fn request(&self, outgoing: &OutgoingRequest<'_>) -> Request<Body>;
 
-    /// What the head of an answer says.
+    /// Classifies an answer by its head.
     fn classify(&self, head: &Parts, outgoing: &OutgoingRequest<'_>) -> AnswerKind;
 
-    /// The rate limit that the head of an answer advertises.
+    /// Returns the rate limit that the head of an answer advertises.
     fn rate_limit(&self, _head: &Parts) -> RateLimit {
         RateLimit::Unknown
     }
 }
 
-/// One request on its way to one target.
+/// One request to one target.
 #[derive(Clone, Copy)]
 pub struct OutgoingRequest<'a> {
-    /// The last event that the caller has, if the target is to go on after it.
+    /// Id of the last event that the caller has, if the target is to continue after it.
     pub after: Option<&'a str>,
-    /// The request as its caller sent it.
+    /// The caller's request.
     pub caller: &'a CallerRequest,
-    /// The daemon's own name for the request.
+    /// The daemon's own id of the request.
     pub id: &'a RequestId,
-    /// Time left until the answer is worthless.
+    /// Time left until the deadline.
     pub remaining: Option<Duration>,
-    /// What is passed on.
+    /// The request to forward.
     pub proxied: &'a ProxiedRequest,
-    /// Where it is sent.
+    /// The target.
     pub target: &'a Target,
 }
 
-/// Rate limit of a target over all daemons.
+/// Rate limit of a target, over all daemons.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RateLimit {
     /// Requests per second.
     PerSecond(f64),
-    /// The answer says nothing of it.
+    /// The answer does not mention a limit.
     Unknown,
     /// No limit.
     Unlimited,
 }
 
-/// What a target's answer means.
+/// Meaning of a target's answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AnswerKind {
-    /// It answers the request, whatever its status.
+    /// The target answers the request, whatever the status.
     Answer,
-    /// It ran the request and failed.
+    /// The target ran the request and failed.
     Failed,
-    /// It did not run the request, and won't.
+    /// The target did not run the request and will not.
     NotRun,
-    /// It answers another request, or is no answer at all.
+    /// The answer belongs to another request, or is not a valid answer.
     Mismatched,
 }
--- a/crates/lilaccrankd/src/targets/proxied_request.rs
+++ b/crates/lilaccrankd/src/targets/proxied_request.rs
@@ -1,4 +1,4 @@
-//! A caller's request for a plain service.
+//! A caller's request to a plain service.
 
 use bytes::Bytes;
 use hyper::header::{AUTHORIZATION, EXPECT, HOST, HeaderName};
@@ -9,10 +9,10 @@
 use crate::callers::end_to_end;
 use crate::targets::engine_stream::{REQUEST_ID, REQUEST_KEY};
 
-/// Start of the names of headers that are for daemons.
+/// Name prefix of headers that are for daemons.
 const DAEMON_HEADER_PREFIX: &str = "lilaccrank-";
-/// Headers that are for daemons, or that only a daemon may set. A service that got the caller's
-/// bearer key could send requests as that caller.
+/// Headers that are for daemons, or that only a daemon may set. A service that received the
+/// caller's bearer key could send requests as that caller.
 const STRIPPED_HEADERS: [HeaderName; 6] = [
     AUTHORIZATION,
     EXPECT,
@@ -22,21 +22,21 @@
     HeaderName::from_static(REQUEST_KEY),
 ];
 
-/// A request for a plain service.
+/// A request to a plain service.
 #[derive(Clone, Debug)]
 pub struct ProxiedRequest {
-    /// The body as it came.
+    /// Body, unmodified.
     pub body: Bytes,
     /// Headers for the target.
     pub headers: HeaderMap,
-    /// The method as it came.
+    /// Method, unmodified.
     pub method: Method,
-    /// Path and query as they came.
+    /// Path and query, unmodified.
     pub path: String,
 }
 
 impl ProxiedRequest {
-    /// The request with this head and body.
+    /// Builds the request from the caller's head and body.
     #[must_use]
     pub fn new(head: &Parts, body: &Bytes) -> Self {
         let path = head.uri.path_and_query();
@@ -49,8 +49,8 @@
     }
 }
 
-/// All headers but those of the connection and those for daemons. A precondition or a coding of
-/// the body that was left out would change what the service does.
+/// Returns all headers except those of the connection and those for daemons. Without a precondition
+/// or the encoding of the body, the service would behave differently.
 fn headers(all: &HeaderMap) -> HeaderMap {
     let mut kept = end_to_end::headers(all);
     for name in STRIPPED_HEADERS {
--- a/crates/lilaccrankd/src/targets/relay.rs
+++ b/crates/lilaccrankd/src/targets/relay.rs
@@ -1,4 +1,4 @@
-//! Copies an answer of another daemon, piece by piece as it comes.
+//! Copies an answer of another daemon, piece by piece as it arrives.
 
 use http_body_util::BodyExt;
 use hyper::Response;
@@ -11,11 +11,7 @@
 use crate::request::answer_buffer::{AnswerBuffer, Head};
 use crate::targets::forward::Bounds;
 
-/// Copies an answer whose head has come.
-///
-/// # Errors
-///
-/// [`ErrorKind::BrokenAnswer`] if its body breaks off.
+/// Copies an answer whose head has arrived.
 pub async fn copy(
     client: &Client,
     res: Response<Incoming>,
--- a/crates/lilaccrankd/tests/suite/listing.rs
+++ b/crates/lilaccrankd/tests/suite/listing.rs
@@ -1,4 +1,4 @@
-//! Which list of targets takes the place of which, and what may only have lapsed.
+//! When a list of targets replaces another, and which missing targets count as lapsed.
 
 use indexmap::{IndexMap, IndexSet};
 use lilaccrank::document::{Pool, Target, TargetState};
@@ -35,7 +35,7 @@
     targets.map(|target| target.id).collect()
 }
 
-/// Revision of the known list and of another, and whether that replaces it.
+/// Revisions of the known list and of another, and whether the other replaces it.
 macro_rules! replaces {
     ($name:ident, $known:literal, $other:literal, $is_replaced:literal) => {
         #[test]
@@ -46,13 +46,13 @@
     };
 }
 
-// A worker has left. A list that went another way still has it; adopted, it would bring the worker
-// back, and requests with it. The size of a list is no argument: all may leave.
+// Guards against an older list that arrives after a worker has left: it would bring the worker
+// back, and requests with it. The size of a list does not matter, since all workers may leave.
 replaces!(newer_revision_replaces, 7, 8, true);
 replaces!(older_revision_does_not_replace, 8, 7, false);
 replaces!(same_revision_does_not_replace, 8, 8, false);
 
-// A platform that does not count its changes: whatever its last list says, holds.
+// A platform that does not count its changes: its last list applies.
 #[test]
 fn without_revisions_the_latest_list_replaces() {
     let leaving = Listing {
@@ -64,7 +64,8 @@
     assert!(!leaving.replaces(&leaving.clone()));
 }
 
-// In calm times what is removed has gone at once, also if it never said that it leaves.
+// Without an outage, a target that is missing from the list is gone at once, even if it never
+// announced that it leaves.
 #[test]
 fn removal_without_an_outage_is_final() {
     let list = LiveList::default();
@@ -74,8 +75,8 @@
     assert_eq!(list.find(POOL, &TargetLife::from("b")), None);
 }
 
-// The platform was silent, and entries of targets that live lapsed. They stay until they come back
-// or their time is over.
+// Entries of live targets lapse during an outage of the platform. The targets stay until they come
+// back or are dropped.
 #[test]
 fn lapsed_targets_stay_until_dropped() {
     let list = LiveList::default();
@@ -90,7 +91,7 @@
     assert!(!list.forget_lapsed());
 }
 
-// One that had said that it leaves did not lapse: it has left.
+// A target that was draining has left; it did not lapse.
 #[test]
 fn draining_targets_do_not_lapse() {
     let list = LiveList::default();
@@ -100,7 +101,7 @@
     assert_eq!(ids(&list), ["a"]);
 }
 
-// A list in calm times ends what was kept from a silence before.
+// The first list without an outage drops targets that an earlier outage kept.
 #[test]
 fn update_without_an_outage_drops_lapsed_targets() {
     let list = LiveList::default();
@@ -110,9 +111,9 @@
     assert_eq!(ids(&list), ["a"]);
 }
 
-// What other daemons are told is what the platform said: each of them judges by the silence that
-// it saw itself. Told what another one keeps, those that were in touch all the while would send
-// to a worker that has left.
+// Other daemons receive the list as the platform sent it, since each decides by the outage that it
+// saw itself. With the lapsed targets in it, daemons that never lost contact would send requests to
+// a worker that has left.
 #[test]
 fn lapsed_targets_are_not_in_the_listing() {
     let list = LiveList::default();
@@ -121,7 +122,7 @@
     assert_eq!(*list.listing(), live(20, &["a"]));
 }
 
-/// A target that was born at `born` and is in this state.
+/// A list with one target that started at `born` and is in this state.
 fn listing_of_instance(revision: u64, born: u64, state: TargetState) -> Listing {
     let mut listing = listing(revision, &[("a", state)]);
     listing.targets[POOL][0].born = born;
@@ -134,8 +135,8 @@
     (target.born, target.state)
 }
 
-// The old life of a target was leaving, the new one serves. The entry of the old one is written once
-// more, late, by a store that was slow: the new life stays.
+// Guards against a late entry of an earlier instance: the old instance was draining, the new one
+// serves, and a slow store writes the entry of the old one once more.
 #[test]
 fn an_earlier_instance_never_returns() {
     let list = LiveList::default();
@@ -144,7 +145,7 @@
     assert_eq!(only(&list), (200, TargetState::Live));
     list.update(listing_of_instance(9, 100, TargetState::Draining), false);
     assert_eq!(only(&list), (200, TargetState::Live));
-    // Nor does it after the new life has gone.
+    // The same after the new instance has gone.
     list.update(live(10, &[]), false);
     list.update(listing_of_instance(11, 100, TargetState::Live), false);
     assert_eq!(ids(&list), Vec::<String>::new());
@@ -152,7 +153,7 @@
     assert_eq!(only(&list), (300, TargetState::Live));
 }
 
-// A request is looked for at the life that it was granted: the one after it never had it.
+// A request is looked up at the instance that it was granted; a later instance never had it.
 #[test]
 fn find_requires_the_same_instance() {
     let list = LiveList::default();
@@ -166,7 +167,7 @@
     assert_eq!(list.find(POOL, &instance), None);
 }
 
-// What is remembered of names that are gone is bounded.
+// The memory of ids that are gone is bounded.
 #[test]
 fn remembered_instances_are_bounded() {
     let list = LiveList::default();
--- a/crates/lilaccrankd/tests/suite/load_message.rs
+++ b/crates/lilaccrankd/tests/suite/load_message.rs
@@ -1,4 +1,4 @@
-//! Which words about load are believed.
+//! Which load messages are accepted.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use lilaccrankd::peers::load_message::{self, Error, LoadMessage};
 use quickcheck::{Gen, QuickCheck};
 
-/// Where the member sends from, and another address.
+/// Address of the member, and another one.
 const MEMBER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 1)), 3);
 const OTHER_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::new(10, 0, 0, 9)), 3);
 const CASES: u64 = 20_000;
@@ -75,14 +75,14 @@
 
 fn outcome(read: Result<LoadMessage, Error>) -> &'static str {
     match read {
-        Ok(_) => "believed",
-        Err(Error::StaleIncarnation { .. }) => "an earlier life",
-        Err(Error::UnknownSender { .. }) => "unknown",
+        Ok(_) => "accepted",
+        Err(Error::StaleIncarnation { .. }) => "stale incarnation",
+        Err(Error::UnknownSender { .. }) => "unknown sender",
         Err(Error::Unreadable(_)) => "unreadable",
     }
 }
 
-/// Who says something, in which life and from where, and whether it is believed.
+/// Incarnation and address of a sender, and whether its message is accepted.
 macro_rules! read_from {
     ($name:ident, $incarnation:literal, $from:expr, $outcome:literal) => {
         #[test]
@@ -93,20 +93,25 @@
     };
 }
 
-read_from!(accepts_a_member, 5, MEMBER_ADDRESS, "believed");
-// Its start is not known here yet.
-read_from!(accepts_a_later_incarnation, 6, MEMBER_ADDRESS, "believed");
-// A datagram was held up while its sender was replaced, or is sent once more by someone: it would put
-// requests on targets that ended with their daemon.
+read_from!(accepts_a_member, 5, MEMBER_ADDRESS, "accepted");
+// The restart of the member is not known here yet.
+read_from!(accepts_a_later_incarnation, 6, MEMBER_ADDRESS, "accepted");
+// Guards against a datagram that was delayed while its sender was replaced, or that was replayed:
+// it would count requests on targets that ended with their daemon.
 read_from!(
     rejects_an_earlier_incarnation,
     4,
     MEMBER_ADDRESS,
-    "an earlier life"
+    "stale incarnation"
+);
+read_from!(
+    rejects_an_unknown_address,
+    5,
+    OTHER_ADDRESS,
+    "unknown sender"
 );
-read_from!(rejects_an_unknown_address, 5, OTHER_ADDRESS, "unknown");
 
-// Datagrams are cut short and bytes of them are spoilt: each is read or is an error.
+// Truncated and corrupted datagrams are either decoded or rejected.
 #[test]
 fn corrupted_datagrams_are_read_or_rejected() {
     fn holds(changes: Vec<(usize, u8)>, cut: Option<usize>) -> bool {
@@ -126,8 +131,8 @@
         .quickcheck(holds as fn(Vec<(usize, u8)>, Option<usize>) -> bool);
 }
 
-// A hundred of these come each second to each daemon: with names in them, the talk of seven daemons
-// cost more than the requests that they passed on.
+// Each daemon receives about a hundred of these messages a second. With ids instead of digests, the
+// messages of seven daemons cost more than the requests that they forwarded.
 #[test]
 fn encoded_message_is_small() {
     let mut message = message(1_790_000_000_000);
