--- a/crates/lilaccrankd/src/targets/newest_instances.rs
+++ b/crates/lilaccrankd/src/targets/newest_instances.rs
@@ -67,7 +67,7 @@
             born = instance.born,
             kept = later.is_some(),
             target_id = instance.id;
-            "replaced or removed a late entry of an earlier target instance"
+            "an earlier life of a target was heard late"
         );
         later.cloned()
     }
