--- a/crates/lilaccrankd/src/orders/pool_orders.rs
+++ b/crates/lilaccrankd/src/orders/pool_orders.rs
@@ -172,7 +172,7 @@
                 return Err(lease::Error::NotHeld(self.key.clone()).into());
             }
             let result = self.orders.give(&addressee, id, command.clone()).await;
-            // Nothing was sent if the lease was lost before.
+            // The lease was lost before anything was sent, so the order can be sent again.
             let can_retry = matches!(result, Err(Error::Lease(_))) && Instant::now() < deadline;
             if !can_retry {
                 return result;
--- a/crates/lilaccrankd/src/peers/change_signal.rs
+++ b/crates/lilaccrankd/src/peers/change_signal.rs
@@ -7,8 +7,8 @@
 /// Signal from any number of writers to one task; several changes count as one.
 ///
 /// A change that comes while the task is busy is kept until it waits again. A bare event wakes only
-/// tasks that already listen: a change during the sending of a load update was then only sent with
-/// the next heartbeat, and the peers sent requests to targets that were full.
+/// tasks that already listen: a change during the sending of a load update would only be sent with
+/// the next heartbeat, and until then the peers would send requests to targets that are full.
 #[derive(Debug, Default)]
 pub struct ChangeSignal {
     event: Event,
--- a/crates/lilaccrankd/src/peers/load_exchange.rs
+++ b/crates/lilaccrankd/src/peers/load_exchange.rs
@@ -41,7 +41,8 @@
 const INTERVAL_PER_PEER: Duration = Duration::from_millis(1);
 /// Shortest time between two reports of a cell's demand to all daemons.
 const MIN_CELL_INTERVAL: Duration = Duration::from_millis(500);
-/// Added to that time for each cell; a daemon then receives some fifteen reports a second.
+/// Interval of these reports per cell. With many cells, a daemon receives some fifteen reports a
+/// second.
 const INTERVAL_PER_CELL: Duration = Duration::from_millis(64);
 /// Largest datagram. A daemon's own requests on fifty targets take two kilobytes.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
--- a/crates/lilaccrankd/src/pools/poller.rs
+++ b/crates/lilaccrankd/src/pools/poller.rs
@@ -22,7 +22,7 @@
 use crate::pools::server::ServedPool;
 
 /// Interval between two polls of one target. Reports only correct the dispatcher's own estimate;
-/// polling twenty engines every half second cost twice what a daemon may spend on all of its
+/// polling twenty engines every half second would cost twice what a daemon may spend on all of its
 /// control traffic.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 /// Timeouts of one request.
--- a/crates/lilaccrankd/tests/suite/load_message.rs
+++ b/crates/lilaccrankd/tests/suite/load_message.rs
@@ -132,7 +132,7 @@
 }
 
 // Each daemon receives about a hundred of these messages a second. With ids instead of digests, the
-// messages of seven daemons cost more than the requests that they forwarded.
+// messages of seven daemons would cost more than the requests that they forward.
 #[test]
 fn encoded_message_is_small() {
     let mut message = message(1_790_000_000_000);
