--- a/crates/lilaccrank/src/dispatch/message.rs
+++ b/crates/lilaccrank/src/dispatch/message.rs
@@ -8,7 +8,7 @@
 use crate::document::Limit;
 use crate::error_kind::ErrorKind;
 use crate::ids::{CustomerId, Incarnation, Rank, RequestId, RuleId, Tier, VmId};
-use crate::target_life::TargetLife;
+use crate::target_instance::TargetInstance;
 
 /// Sequence number of the asks for one request; a grant of an earlier ask is void.
 pub type AskNumber = u64;
@@ -30,7 +30,7 @@
     /// Incarnation of the entry daemon.
     pub entry_incarnation: Incarnation,
     /// Targets that must not be granted because they failed this request before.
-    pub exclusions: Vec<TargetLife>,
+    pub exclusions: Vec<TargetInstance>,
     /// Limits of the matching rule.
     pub limit: Option<Limit>,
     /// Maximum number of tokens to generate.
@@ -90,7 +90,7 @@
     /// Id of the request.
     pub request: RequestId,
     /// Target to send the request to.
-    pub target: TargetLife,
+    pub target: TargetInstance,
 }
 
 /// Refusal of one ask; the request was not run for it.
@@ -139,7 +139,7 @@
     /// Id of the request.
     pub request: RequestId,
     /// Target that runs the request.
-    pub target: TargetLife,
+    pub target: TargetInstance,
 }
 
 /// Event of a granted request.
@@ -212,7 +212,7 @@
     /// Number of tokens generated so far; `None` before the first.
     pub decoded: Option<u32>,
     /// Target that runs the request.
-    pub target: TargetLife,
+    pub target: TargetInstance,
 }
 
 /// All requests of one entry daemon in this pool; replaces its previous state.
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -28,7 +28,7 @@
 use crate::error_kind::ErrorKind;
 use crate::ids::RequestId;
 use crate::stream_progress;
-use crate::target_life::{LifeDigest, TargetLife};
+use crate::target_instance::{InstanceDigest, TargetInstance};
 
 /// Maximum fraction of the time remaining at the current target that a migrated answer may take at
 /// the new one. A migration repeats the prefill of the prompt and of the partial answer, so it must
@@ -104,7 +104,7 @@
     pub(super) max_tokens: u32,
     /// Prefix digests of a prompt whose prefill hasn't finished.
     pub(super) inflight: Vec<u64>,
-    pub(super) target: TargetLife,
+    pub(super) target: TargetInstance,
     pub(super) tokens: u64,
     /// Set if the request is a trial of a hung target.
     pub(super) trial: bool,
@@ -130,7 +130,7 @@
     pub(super) queue: Queue,
     pub(super) active_grants: IndexMap<RequestId, ActiveGrant>,
     pub(super) sharing: Sharing,
-    pub(super) targets: IndexMap<TargetLife, Target>,
+    pub(super) targets: IndexMap<TargetInstance, Target>,
     /// Tiers that use the pool.
     pub(super) tiers: Tiers,
     /// Sequence number of the last grant.
@@ -275,7 +275,11 @@
     }
 
     /// Sets the cell's shares of the advertised rate limits.
-    pub(super) fn set_rate_limits(&mut self, shares: &IndexMap<LifeDigest, Share>, now: Instant) {
+    pub(super) fn set_rate_limits(
+        &mut self,
+        shares: &IndexMap<InstanceDigest, Share>,
+        now: Instant,
+    ) {
         for target in self.targets.values_mut() {
             target.set_rate_limit(shares.get(&target.digest).copied(), now);
         }
--- a/crates/lilaccrank/src/dispatch/target.rs
+++ b/crates/lilaccrank/src/dispatch/target.rs
@@ -7,7 +7,7 @@
 use super::queue::Priority;
 use super::rate_limit::{RateLimit, Share};
 use crate::ids::DataCentre;
-use crate::target_life::{LifeDigest, TargetLife};
+use crate::target_instance::{InstanceDigest, TargetInstance};
 
 /// Time for which a slot freed by another daemon is left to the daemon whose ask goes first.
 ///
@@ -43,9 +43,9 @@
     /// Data centre of the target.
     pub data_centre: DataCentre,
     /// Name and incarnation of the target.
-    pub life: TargetLife,
+    pub life: TargetInstance,
     /// Digest of its incarnation, used in messages between daemons.
-    pub digest: LifeDigest,
+    pub digest: InstanceDigest,
     /// Set if the target may get new work.
     pub live: bool,
     /// Number of its requests with a long prompt and no first token yet.
@@ -67,7 +67,7 @@
 impl Target {
     /// Creates a live target without any history.
     #[must_use]
-    pub fn new(life: TargetLife, slots: u32, now: Instant) -> Self {
+    pub fn new(life: TargetInstance, slots: u32, now: Instant) -> Self {
         Self {
             digest: life.digest(),
             estimate: Estimate::new(now),
@@ -87,7 +87,7 @@
 
     /// Creates a target that is not in the configuration and known only from a running request.
     #[must_use]
-    pub fn unlisted(life: TargetLife, now: Instant) -> Self {
+    pub fn unlisted(life: TargetInstance, now: Instant) -> Self {
         Self {
             live: false,
             ..Self::new(life, 0, now)
--- a/crates/lilaccrank/src/lease/candidate.rs
+++ b/crates/lilaccrank/src/lease/candidate.rs
@@ -109,7 +109,7 @@
     /// clock is ahead of them. A wrong clock does no harm, since the number still exceeds every
     /// number seen.
     fn next_fence(&self) -> Fence {
-        let wall = self.context.clock.wall();
+        let wall = self.context.clock.wall_time();
         let since = wall.duration_since(SystemTime::UNIX_EPOCH);
         let seconds = since.map_or(0, |since| since.as_secs());
         seconds.max(self.context.highest_fence + 1)
--- a/crates/lilaccrank/src/lib.rs
+++ b/crates/lilaccrank/src/lib.rs
@@ -1,14 +1,15 @@
-//! Coordination parts of lilaccrank, a request scheduler for unlike engines.
+//! Scheduling and coordination library of lilaccrank, a request scheduler for heterogeneous
+//! inference engines.
 //!
-//! Everything here runs on ports (a [`clock`], a [`store`], [`peers`]) and can be embedded
-//! without the daemon. Sizes are in bytes, lengths in tokens, times in [`std::time::Duration`]
-//! unless a name says otherwise.
+//! All I/O goes through traits ([`clock`], [`store`], [`peers`]), so the library can be embedded
+//! without the daemon. Unless a name says otherwise, sizes are in bytes, lengths in tokens and
+//! times are [`std::time::Duration`]s.
 
 pub mod advisories;
 pub mod attempts;
 pub mod backoff;
 pub mod cells;
-pub mod circuit;
+pub mod circuit_breaker;
 pub mod clock;
 pub mod configuration;
 pub mod dispatch;
@@ -31,5 +32,5 @@
 pub mod rules;
 pub mod store;
 pub mod stream_progress;
-pub mod target_life;
+pub mod target_instance;
 pub mod timeline;
--- a/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
@@ -6,7 +6,7 @@
 use lilaccrank::dispatch::sharing::{Digest, TargetLoad};
 use lilaccrank::document::Limit;
 use lilaccrank::error_kind::ErrorKind;
-use lilaccrank::target_life::{LifeDigest, TargetLife};
+use lilaccrank::target_instance::{InstanceDigest, TargetInstance};
 
 use crate::dispatch_harness::{self, Harness};
 
@@ -84,8 +84,8 @@
 }
 
 /// Returns the key of a target in digests.
-pub fn target_digest(target: &str) -> LifeDigest {
-    TargetLife::from(target).digest()
+pub fn target_digest(target: &str) -> InstanceDigest {
+    TargetInstance::from(target).digest()
 }
 
 /// Returns a digest of a peer that runs `running` requests on a target, with `prefill` prompt tokens
--- a/crates/lilaccrank/tests/suite/orders.rs
+++ b/crates/lilaccrank/tests/suite/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of two holders that reach a target late.
+//! Tests of orders that reach a target late, from one or two lease holders.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,15 +10,15 @@
 use lilaccrank::document::Fencing;
 use lilaccrank::ids::TargetId;
 use lilaccrank::lease::{Error, Guard, GuardSource, Result};
-use lilaccrank::orders::{self, Addressee, Command, Order, Orders, Role, Settings, Targets};
+use lilaccrank::orders::{self, Command, Order, OrderTarget, Orders, Role, Settings, Targets};
 use lilaccrank::paused_clock::PausedClock;
 
-type Giver = Orders<PausedClock, FakeLease, FakeTargets>;
+type TestOrders = Orders<PausedClock, FakeLease, FakeTargets>;
 
-/// A wire to one target, which notes what it carried out.
+/// Connection to one fake target, which records the orders that it executed.
 #[derive(Clone)]
 struct FakeTargets {
-    carried_out: Rc<RefCell<Vec<Order>>>,
+    executed: Rc<RefCell<Vec<Order>>>,
     clock: PausedClock,
     delay: Rc<Cell<Duration>>,
     fencing: Fencing,
@@ -27,18 +27,18 @@
 
 impl FakeTargets {
     fn arrive(&self, order: Order) {
-        let mut carried_out = self.carried_out.borrow_mut();
-        let highest = carried_out.iter().map(|earlier| earlier.fence).max();
-        let old = highest > Some(order.fence);
-        if self.fencing == Fencing::Ignored || !old {
-            carried_out.push(order);
+        let mut executed = self.executed.borrow_mut();
+        let highest = executed.iter().map(|earlier| earlier.fence).max();
+        let is_stale = highest > Some(order.fence);
+        if self.fencing == Fencing::Ignored || !is_stale {
+            executed.push(order);
         }
     }
 }
 
 impl Targets for FakeTargets {
-    /// What is on the wire arrives also when the sender has given up.
-    async fn give(&self, _target: &TargetId, order: &Order) -> orders::Result<()> {
+    /// An order in flight arrives even if the sender has given up waiting.
+    async fn issue(&self, _target: &TargetId, order: &Order) -> orders::Result<()> {
         let (targets, order) = (self.clone(), order.clone());
         let delay = self.clock.sleep(self.delay.get());
         let arrival = async move {
@@ -51,7 +51,7 @@
     }
 }
 
-/// A lease as one holder sees it.
+/// A lease from the point of view of one holder.
 struct FakeLease {
     clock: PausedClock,
     fence: Rc<Cell<u64>>,
@@ -70,22 +70,22 @@
     }
 }
 
-struct Setting {
+struct Fixture {
     clock: PausedClock,
-    /// Number of the holder made last.
+    /// Fencing token of the holder that was created last.
     fence: RefCell<Rc<Cell<u64>>>,
     outcomes: Rc<RefCell<Vec<orders::Result<()>>>>,
     pool: LocalPool,
     targets: FakeTargets,
 }
 
-impl Setting {
+impl Fixture {
     fn new(fencing: Fencing) -> Self {
         let clock = PausedClock::new();
         clock.advance(Duration::from_secs(60));
         let pool = LocalPool::new();
         let targets = FakeTargets {
-            carried_out: Rc::default(),
+            executed: Rc::default(),
             clock: clock.clone(),
             delay: Rc::default(),
             fencing,
@@ -100,7 +100,7 @@
         }
     }
 
-    fn in_s(&self, seconds: u64) -> Instant {
+    fn seconds_from_now(&self, seconds: u64) -> Instant {
         self.clock.now() + Duration::from_secs(seconds)
     }
 
@@ -108,12 +108,17 @@
         self.clock.now() - Duration::from_secs(60)
     }
 
-    fn holder(&self, fence: u64, expires_at: Instant, predecessor_expired_at: Instant) -> Giver {
-        let number = Rc::new(Cell::new(fence));
-        self.fence.replace(Rc::clone(&number));
+    fn holder(
+        &self,
+        fence: u64,
+        expires_at: Instant,
+        predecessor_expired_at: Instant,
+    ) -> TestOrders {
+        let shared_fence = Rc::new(Cell::new(fence));
+        self.fence.replace(Rc::clone(&shared_fence));
         let lease = FakeLease {
             clock: self.clock.clone(),
-            fence: number,
+            fence: shared_fence,
             guard: Guard {
                 predecessor_expired_at,
                 fence,
@@ -124,23 +129,23 @@
         Orders::new(cfg, self.clock.clone(), lease, self.targets.clone())
     }
 
-    /// Gives an order that is on the wire for so long.
-    fn give(&mut self, holder: impl Into<Rc<Giver>>, role: Role, on_wire: Duration) {
-        self.targets.delay.set(on_wire);
-        let holder: Rc<Giver> = holder.into();
+    /// Issues an order that takes the given time to arrive and to be answered.
+    fn issue(&mut self, holder: impl Into<Rc<TestOrders>>, role: Role, time_in_flight: Duration) {
+        self.targets.delay.set(time_in_flight);
+        let holder: Rc<TestOrders> = holder.into();
         let outcomes = Rc::clone(&self.outcomes);
-        let target = Addressee {
+        let target = OrderTarget {
             fencing: self.targets.fencing,
             id: "engine-1".to_owned(),
         };
-        let give = async move {
-            let outcome = holder.give(&target, "role", Command::SetRole { role });
+        let issue = async move {
+            let outcome = holder.issue(&target, "role", Command::SetRole { role });
             let outcome = outcome.await;
             outcomes.borrow_mut().push(outcome);
         };
         self.pool
             .spawner()
-            .spawn_local(give)
+            .spawn_local(issue)
             .expect("the pool runs");
         self.pool.run_until_stalled();
     }
@@ -152,28 +157,28 @@
         }
     }
 
-    fn carried_out(&self) -> Vec<Command> {
-        let orders = self.targets.carried_out.borrow();
+    fn executed(&self) -> Vec<Command> {
+        let orders = self.targets.executed.borrow();
         orders.iter().map(|order| order.command.clone()).collect()
     }
 }
 
-// The earlier holder's order "prefill" is sent in its lease and stays on the wire for 4.9 s; the
-// later holder orders "decode" a second after the first. The target must end as "decode": one
-// that checks the number refuses the late order; for one that ignores it the later holder waits.
+// The first holder's order "prefill" is in flight for 4.9 s; the second holder orders "decode" one
+// second later. The target must end as "decode": a target that checks fencing tokens refuses the
+// late order; for one that ignores them the second holder waits.
 macro_rules! late_order {
     ($($name:ident: $fencing:expr, $roles:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut setting = Setting::new($fencing);
-            let earlier = setting.holder(1, setting.in_s(1), setting.long_ago());
-            setting.give(earlier, Role::Prefill, Duration::from_millis(4_900));
-            setting.advance(1);
-            let later = setting.holder(2, setting.in_s(60), setting.in_s(0));
-            setting.give(later, Role::Decode, Duration::from_millis(10));
-            setting.advance(20);
+            let mut fixture = Fixture::new($fencing);
+            let earlier = fixture.holder(1, fixture.seconds_from_now(1), fixture.long_ago());
+            fixture.issue(earlier, Role::Prefill, Duration::from_millis(4_900));
+            fixture.advance(1);
+            let later = fixture.holder(2, fixture.seconds_from_now(60), fixture.seconds_from_now(0));
+            fixture.issue(later, Role::Decode, Duration::from_millis(10));
+            fixture.advance(20);
             let expected = $roles.map(|role| Command::SetRole { role });
-            assert_eq!(setting.carried_out(), expected);
+            assert_eq!(fixture.executed(), expected);
         }
     )*};
 }
@@ -183,62 +188,62 @@
     late_order_to_a_target_that_ignores: Fencing::Ignored, [Role::Prefill, Role::Decode];
 }
 
-// A holder waits for earlier orders to arrive and loses its lease meanwhile. If it did not ask
-// again after the wait, it would act as if it still held it.
+// A holder loses its lease while it waits for orders of its predecessor to arrive. It must check
+// the lease again after the wait.
 #[test]
-fn holder_that_lost_its_lease_in_the_wait_gives_no_order() {
-    let mut setting = Setting::new(Fencing::Ignored);
-    let holder = setting.holder(1, setting.in_s(4), setting.in_s(0));
-    setting.give(holder, Role::Decode, Duration::ZERO);
-    setting.advance(20);
-    assert_eq!(setting.carried_out(), []);
+fn holder_that_lost_its_lease_in_the_wait_issues_no_order() {
+    let mut fixture = Fixture::new(Fencing::Ignored);
+    let holder = fixture.holder(1, fixture.seconds_from_now(4), fixture.seconds_from_now(0));
+    fixture.issue(holder, Role::Decode, Duration::ZERO);
+    fixture.advance(20);
+    assert_eq!(fixture.executed(), []);
     let not_held = orders::Error::Lease(Error::NotHeld("orders".to_owned()));
-    assert_eq!(*setting.outcomes.borrow(), [Err(not_held)]);
+    assert_eq!(*fixture.outcomes.borrow(), [Err(not_held)]);
 }
 
-// No answer to "prefill" comes in time, and the operator asks the same holder for "decode" while
-// the first order is still on the wire. Both carry one number, and no target can tell which is
-// the later. Unless the second waits until the first, which is sent once more, can't arrive any
-// more, the target ends as "prefill", though the holder was told that "decode" is done.
+// "prefill" is not answered in time, and the same holder issues "decode" while the first order is
+// still in flight. Both have the same fencing token, so a target can't tell which one is newer.
+// Unless the second waits until the first, which is sent once more, can no longer arrive, the
+// target ends as "prefill" although "decode" was reported as done.
 #[test]
 fn order_without_an_answer_is_not_overtaken() {
     for fencing in [Fencing::Checked, Fencing::Ignored] {
-        let mut setting = Setting::new(fencing);
-        let holder = setting.holder(1, setting.in_s(60), setting.long_ago());
+        let mut fixture = Fixture::new(fencing);
+        let holder = fixture.holder(1, fixture.seconds_from_now(60), fixture.long_ago());
         let holder = Rc::new(holder);
-        setting.give(
+        fixture.issue(
             Rc::clone(&holder),
             Role::Prefill,
             Duration::from_millis(4_900),
         );
-        setting.advance(4);
-        setting.give(holder, Role::Decode, Duration::from_millis(10));
-        setting.advance(10);
+        fixture.advance(4);
+        fixture.issue(holder, Role::Decode, Duration::from_millis(10));
+        fixture.advance(10);
         let roles = [Role::Prefill, Role::Prefill, Role::Decode];
         assert_eq!(
-            setting.carried_out(),
+            fixture.executed(),
             roles.map(|role| Command::SetRole { role })
         );
-        assert_eq!(*setting.outcomes.borrow(), [Ok(()), Ok(())]);
+        assert_eq!(*fixture.outcomes.borrow(), [Ok(()), Ok(())]);
     }
 }
 
-// A holder's order gets no answer; meanwhile the lease is with another and comes back. The order
-// must not be sent again under the new number, since the other may have given a later one.
+// An order is not answered, and the lease passes to another holder and back. The order must not be
+// repeated under the new fencing token, because the other holder may have issued a newer one.
 #[test]
 fn order_is_not_repeated_under_another_number() {
-    let mut setting = Setting::new(Fencing::Checked);
-    let holder = Rc::new(setting.holder(1, setting.in_s(60), setting.long_ago()));
-    setting.give(
+    let mut fixture = Fixture::new(Fencing::Checked);
+    let holder = Rc::new(fixture.holder(1, fixture.seconds_from_now(60), fixture.long_ago()));
+    fixture.issue(
         Rc::clone(&holder),
         Role::Prefill,
         Duration::from_millis(4_900),
     );
-    setting.advance(4);
-    setting.fence.borrow().set(3);
-    setting.advance(10);
+    fixture.advance(4);
+    fixture.fence.borrow().set(3);
+    fixture.advance(10);
     let unknown = orders::Error::Unknown("engine-1".to_owned());
-    assert_eq!(*setting.outcomes.borrow(), [Err(unknown)]);
+    assert_eq!(*fixture.outcomes.borrow(), [Err(unknown)]);
     let role = Role::Prefill;
-    assert_eq!(setting.carried_out(), [Command::SetRole { role }]);
+    assert_eq!(fixture.executed(), [Command::SetRole { role }]);
 }
--- a/crates/lilaccrankd/src/request/interruption.rs
+++ b/crates/lilaccrankd/src/request/interruption.rs
@@ -5,7 +5,7 @@
 
 use futures::future::{self, Either};
 use futures::pin_mut;
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 
 use crate::callers::refusal::Refusal;
 use crate::request::abort_signal::AbortSignal;
@@ -32,7 +32,7 @@
         // whether its request ran. `Leaving` by itself means "not run", which holds only for
         // requests that still wait for a target.
         Either::Right(_) => {
-            Refusal::new(ErrorKind::Leaving, "this daemon has to end now").ran(Ran::Maybe)
+            Refusal::new(ErrorKind::Leaving, "this daemon has to end now").ran(Executed::Maybe)
         }
     }
 }
--- a/crates/lilaccrankd/src/request/quotas.rs
+++ b/crates/lilaccrankd/src/request/quotas.rs
@@ -110,7 +110,7 @@
     /// Sets this daemon's cell and the daemons that are known to be live.
     pub fn set_cell(&self, cell: &Cell, live: &IndexSet<VmId>) {
         let mut inner = self.inner.borrow_mut();
-        inner.set_cell(cell.id(), cell.mates(), live, Instant::now());
+        inner.set_cell(cell.id(), cell.peers(), live, Instant::now());
     }
 
     /// Sets the time between two reports of another cell.
