--- a/crates/lilaccrankd/src/orders/drain_reconciler.rs
+++ b/crates/lilaccrankd/src/orders/drain_reconciler.rs
@@ -115,7 +115,7 @@
             TargetState::Live => Command::Resume,
         };
         let id = self.daemon.next_request_id();
-        let result = self.pool_orders.give(target, &id, command.clone()).await;
+        let result = self.pool_orders.issue(target, &id, command.clone()).await;
         let detail = match &result {
             Ok(()) => command.to_string(),
             Err(e) => format!("{command}: {e}"),
--- a/crates/lilaccrankd/src/orders/jobs.rs
+++ b/crates/lilaccrankd/src/orders/jobs.rs
@@ -92,7 +92,7 @@
 
 async fn run(daemon: Rc<Daemon>, req: OrderRequest) {
     log::info!("order {} to {} begins: {}", req.id, req.target, req.command);
-    let outcome = give(&daemon, &req).await;
+    let outcome = issue(&daemon, &req).await;
     log::info!("order {} to {} ended: {outcome:?}", req.id, req.target);
     let subject = Subject {
         detail: format!("{}, id {}: {outcome:?}", req.command, req.id),
@@ -106,7 +106,7 @@
     }
 }
 
-async fn give(daemon: &Daemon, req: &OrderRequest) -> OrderOutcome {
+async fn issue(daemon: &Daemon, req: &OrderRequest) -> OrderOutcome {
     let pool_orders = daemon.order_keeper.active_orders(&req.pool);
     let target = pool_orders.and_then(|it| it.target(&req.target).map(|target| (it, target)));
     let Some((pool_orders, target)) = target else {
@@ -114,7 +114,7 @@
             reason: "the target is no longer in the pool; nothing was sent".to_owned(),
         };
     };
-    let result = pool_orders.give(&target, &req.id, req.command.clone());
+    let result = pool_orders.issue(&target, &req.id, req.command.clone());
     result.await.into()
 }
 
--- a/crates/lilaccrankd/src/orders/pool_orders.rs
+++ b/crates/lilaccrankd/src/orders/pool_orders.rs
@@ -151,9 +151,9 @@
     /// # Errors
     ///
     /// [`Error::Unknown`] if the target may have carried it out; after any other error it has not.
-    pub async fn give(&self, target: &Target, id: &str, command: Command) -> Result<()> {
+    pub async fn issue(&self, target: &Target, id: &str, command: Command) -> Result<()> {
         let _pending_order = self.track_order();
-        let addressee = OrderTarget {
+        let order_target = OrderTarget {
             fencing: target.fencing,
             id: target.id.clone(),
         };
@@ -171,7 +171,7 @@
             if term.is_none() || term != self.term() || self.lease_handle.guard().is_err() {
                 return Err(lease::Error::NotHeld(self.key.clone()).into());
             }
-            let result = self.orders.issue(&addressee, id, command.clone()).await;
+            let result = self.orders.issue(&order_target, id, command.clone()).await;
             // The lease was lost before anything was sent, so the order can be sent again.
             let can_retry = matches!(result, Err(Error::Lease(_))) && Instant::now() < deadline;
             if !can_retry {
--- a/crates/lilaccrankd/src/peers/duties.rs
+++ b/crates/lilaccrankd/src/peers/duties.rs
@@ -37,8 +37,8 @@
             return Some(self.me());
         }
         let live = self.membership.live();
-        let duty = format!("pool/{pool}");
-        let vm = rendezvous::owner(&duty, live.members.iter().map(|m| &m.vm))?;
+        let key = format!("pool/{pool}");
+        let vm = rendezvous::owner(&key, live.members.iter().map(|m| &m.vm))?;
         let member = live.members.iter().find(|member| member.vm == *vm)?;
         Some(member_ref(member))
     }
@@ -86,9 +86,9 @@
 
     fn ranked(&self, key_hash: u64) -> Vec<MemberRef> {
         let live = self.membership.live();
-        let duty = format!("key/{key_hash:x}");
+        let key = format!("key/{key_hash:x}");
         let vms = live.members.iter().map(|member| &member.vm);
-        let ranked = rendezvous::top(&duty, vms, live.members.len());
+        let ranked = rendezvous::top(&key, vms, live.members.len());
         ranked
             .into_iter()
             .filter_map(|vm| live.members.iter().find(|member| member.vm == *vm))
--- a/crates/lilaccrankd/tests/suite/listing.rs
+++ b/crates/lilaccrankd/tests/suite/listing.rs
@@ -122,10 +122,10 @@
     assert_eq!(*list.listing(), live(20, &["a"]));
 }
 
-/// A list with one target that started at `born` and is in this state.
-fn listing_of_instance(revision: u64, born: u64, state: TargetState) -> Listing {
+/// A list with one target that started at `started_ms` and is in this state.
+fn listing_of_instance(revision: u64, started_ms: u64, state: TargetState) -> Listing {
     let mut listing = listing(revision, &[("a", state)]);
-    listing.targets[POOL][0].started_ms = born;
+    listing.targets[POOL][0].started_ms = started_ms;
     listing
 }
 
