--- a/crates/lilaccrankd/src/orders/drain_reconciler.rs
+++ b/crates/lilaccrankd/src/orders/drain_reconciler.rs
@@ -23,7 +23,7 @@
 use crate::orders::pool_orders::{PoolOrders, Term};
 
 /// Delay before orders are sent in a new term. While members are still being discovered, the duty
-/// may move on within this time, and each order given until then would cost the store a lease.
+/// may move on within this time, and each order issued until then would cost the store a lease.
 const SETTLE_DELAY: Duration = Duration::from_secs(1);
 /// Upper bound of the first wait before a failed order is repeated.
 const BASE_BACKOFF: Duration = Duration::from_millis(500);
--- a/crates/lilaccrankd/src/orders/manager.rs
+++ b/crates/lilaccrankd/src/orders/manager.rs
@@ -30,7 +30,7 @@
 }
 
 impl OrderManager {
-    /// Returns a manager that gives no orders before the first [`reconcile`].
+    /// Returns a manager that issues no orders before the first [`reconcile`].
     #[must_use]
     pub fn new(cfg: &Settings, incarnation: Incarnation, store: PlatformStore) -> Self {
         Self {
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Returns `true` if this daemon gives orders to any pool.
+    /// Returns `true` if this daemon issues orders to any pool.
     #[must_use]
     pub fn is_active(&self) -> bool {
         self.pools.borrow().values().any(|it| it.is_active())
     }
 
-    /// Returns the orders to a pool if this daemon gives them.
+    /// Returns the orders to a pool if this daemon issues them.
     #[must_use]
     pub fn active_orders(&self, pool: &PoolId) -> Option<Rc<PoolOrders>> {
         let pools = self.pools.borrow();
@@ -63,8 +63,8 @@
     }
 }
 
-/// Starts or stops giving orders to pools after a change of members, of the configuration or of the
-/// list of VMs.
+/// Starts or stops issuing orders to pools after a change of members, of the configuration or of
+/// the list of VMs.
 pub fn reconcile(daemon: &Rc<Daemon>) {
     let Ok(in_force) = daemon.in_force() else {
         return;
--- a/crates/lilaccrankd/src/orders/message.rs
+++ b/crates/lilaccrankd/src/orders/message.rs
@@ -5,7 +5,7 @@
 use lilaccrank::orders::Command;
 use serde::{Deserialize, Serialize};
 
-/// Passes an operator's order on to the daemon that gives orders to the pool.
+/// Passes an operator's order on to the daemon that issues orders to the pool.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct OrderRequest {
     /// Number of the operator's attempt. A new attempt tries again what failed; a repeated request
@@ -35,7 +35,7 @@
         /// Random number, drawn for each order.
         token: u64,
     },
-    /// This daemon does not give orders to the pool.
+    /// This daemon does not issue orders to the pool.
     Declined,
     /// Outcome of the order.
     Ended(OrderOutcome),
--- a/crates/lilaccrankd/src/orders/pool_orders.rs
+++ b/crates/lilaccrankd/src/orders/pool_orders.rs
@@ -24,7 +24,7 @@
 /// Interval at which an order checks whether the lease is held.
 const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Gives the orders to one pool of one data centre.
+/// Issues the orders to one pool of one data centre.
 ///
 /// It exists for each pool as long as the daemon runs, also while another daemon has the duty: two
 /// candidates with the same holder name would take the lease from each other without waiting.
@@ -98,7 +98,7 @@
         pool_orders
     }
 
-    /// Returns `true` if this daemon gives the pool's orders.
+    /// Returns `true` if this daemon issues the pool's orders.
     pub fn is_active(&self) -> bool {
         self.active.get()
     }
@@ -146,7 +146,7 @@
         self.changed.listen()
     }
 
-    /// Gives one order. Waits for the lease, up to a limit.
+    /// Issues one order. Waits for the lease, up to a limit.
     ///
     /// # Errors
     ///
@@ -166,7 +166,7 @@
             {
                 monoio::time::sleep(LEASE_POLL_INTERVAL).await;
             }
-            // In a new term, another daemon may have given a later order, which this one would
+            // In a new term, another daemon may have issued a later order, which this one would
             // undo.
             if term.is_none() || term != self.term() || self.lease_handle.guard().is_err() {
                 return Err(lease::Error::NotHeld(self.key.clone()).into());
--- a/crates/lilaccrankd/src/orders/relay.rs
+++ b/crates/lilaccrankd/src/orders/relay.rs
@@ -1,4 +1,4 @@
-//! Passes an operator's order on to the daemon that gives orders to the target's pool.
+//! Passes an operator's order on to the daemon that issues orders to the target's pool.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
