--- a/crates/lilaccrankd/src/pools/server.rs
+++ b/crates/lilaccrankd/src/pools/server.rs
@@ -306,7 +306,7 @@
     let previous = daemon.pool_server.cell.replace(Rc::clone(&cell));
     daemon.quotas.set_cell(&cell, &members);
     if previous != cell {
-        log::info!(mates = cell.peers().len(), members = members.len(); "cell of this daemon changed");
+        log::info!(mates = cell.peers().len(), members = members.len(); "cell changed");
         configuration_changed(daemon);
     }
 }
--- a/crates/lilaccrankd/src/targets/live_list.rs
+++ b/crates/lilaccrankd/src/targets/live_list.rs
@@ -197,7 +197,7 @@
     pub fn forget_lapsed(&self) -> bool {
         let lapsed = self.lapsed.take();
         for id in lapsed.keys() {
-            log::info!(target_id = id; "dropped a lapsed target that did not come back after the outage");
+            log::info!(target_id = id; "dropped a lapsed target after the outage");
         }
         !lapsed.is_empty()
     }
