--- a/crates/lilaccrank/src/request_key.rs
+++ b/crates/lilaccrank/src/request_key.rs
@@ -17,7 +17,7 @@
 //! - An error of [`Claims`] with [`Ran::No`] speaks of the refused attempt. Repeating it under
 //!   the same key is always safe.
 //!
-//! To embed it: serve [`Keeper::handle`] to the other daemons, run [`Keeper::run`] and
+//! To embed it: serve [`KeyOwner::handle`] to the other daemons, run [`KeyOwner::run`] and
 //! [`Claims::sweep_every`] as tasks, and take each request through [`Claims::claim`].
 //!
 //! [`Ran::No`]: crate::error_kind::Ran::No
@@ -26,23 +26,23 @@
 pub mod claim;
 pub mod claims;
 mod grant;
+mod guard;
 mod handover;
-mod held;
-pub mod keeper;
 pub mod key_id;
 pub mod message;
-mod owners;
+pub mod owner;
 pub mod ranking;
 pub mod record;
+mod replicas;
 mod replication;
 mod store_claim;
 mod table;
 
 pub use budget::Budget;
 pub use claim::{Claim, Claimed, Marked};
-pub use claims::{Access, Claims, Error, Result, Wanted};
-pub use keeper::{Keeper, Limits};
+pub use claims::{Access, ClaimRequest, Claims, Error, Result};
 pub use key_id::{BodyDigest, KeyId};
-pub use message::{KeyReply, KeyRequest, Moved};
+pub use message::{KeyReply, KeyRequest, MovedRecord};
+pub use owner::{KeyOwner, Limits};
 pub use ranking::{MemberRef, Ranking};
 pub use record::{ClaimNumber, Holder, Outcome, Record, Stage};
--- a/crates/lilaccrank/src/request_key/budget.rs
+++ b/crates/lilaccrank/src/request_key/budget.rs
@@ -40,26 +40,26 @@
     /// Takes a token if at least one is left.
     #[must_use]
     pub fn try_take(&self) -> bool {
-        self.take_leaving(0.0)
+        self.try_take_reserving(0.0)
     }
 
     /// Takes a token if half of the burst stays for others.
     #[must_use]
-    pub fn try_take_spare(&self) -> bool {
-        self.take_leaving(self.burst / 2.0)
+    pub fn try_take_low_priority(&self) -> bool {
+        self.try_take_reserving(self.burst / 2.0)
     }
 
     /// Takes a token even if none is left: a claim that was begun has to be settled. The debt
     /// holds new claims back until it is paid, so that the average keeps to the rate.
-    pub fn take_in_debt(&self) {
+    pub fn force_take(&self) {
         let mut state = self.refilled();
         state.tokens -= 1.0;
         self.state.set(state);
     }
 
-    fn take_leaving(&self, rest: f64) -> bool {
+    fn try_take_reserving(&self, reserve: f64) -> bool {
         let mut state = self.refilled();
-        let enough = state.tokens >= rest + 1.0;
+        let enough = state.tokens >= reserve + 1.0;
         if enough {
             state.tokens -= 1.0;
         }
--- a/crates/lilaccrank/src/request_key/claim.rs
+++ b/crates/lilaccrank/src/request_key/claim.rs
@@ -7,7 +7,7 @@
 use crate::error_kind::ErrorKind;
 use crate::peers::Peers;
 use crate::request_key::claims::{Error, Result};
-use crate::request_key::held::Held;
+use crate::request_key::guard::ClaimGuard;
 use crate::request_key::key_id::KeyId;
 use crate::request_key::message::{KeyReply, KeyRequest};
 use crate::request_key::ranking::Ranking;
@@ -16,7 +16,7 @@
 use crate::store::Store;
 
 /// Longest time for a claim in the store: a write without an answer, and reading it back.
-const STORE_LIMIT: Duration = Duration::from_secs(4);
+const STORE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// State of a claim before its mark: nothing may be sent to a target.
 pub struct Claimed;
@@ -34,7 +34,7 @@
     R: Ranking,
     S: Store,
 {
-    held: Held<C, P, R, S>,
+    guard: ClaimGuard<C, P, R, S>,
     state: PhantomData<Z>,
 }
 
@@ -45,9 +45,9 @@
     R: Ranking,
     S: Store,
 {
-    pub(super) fn new(held: Held<C, P, R, S>) -> Self {
+    pub(super) fn new(guard: ClaimGuard<C, P, R, S>) -> Self {
         Self {
-            held,
+            guard,
             state: PhantomData,
         }
     }
@@ -60,8 +60,8 @@
     ///
     /// Nothing may be sent. The claim is released, unless another one has taken its place.
     pub async fn mark_dispatching(self) -> Result<Claim<Marked, C, P, R, S>> {
-        let idempotent = self.held.record.idempotent;
-        if !idempotent && !self.held.claims.inner.budget.try_take() {
+        let idempotent = self.guard.record.idempotent;
+        if !idempotent && !self.guard.claims.inner.budget.try_take() {
             self.release().await;
             return Err(Error::RateLimited);
         }
@@ -80,15 +80,15 @@
     /// # Errors
     ///
     /// Nothing may be handed on. The claim is released, unless another one has taken its place.
-    pub async fn mark_handed_on(self) -> Result<Claim<Marked, C, P, R, S>> {
+    pub async fn mark_forwarded(self) -> Result<Claim<Marked, C, P, R, S>> {
         self.mark().await
     }
 
     async fn mark(mut self) -> Result<Claim<Marked, C, P, R, S>> {
-        match self.held.ask_mark().await {
+        match self.guard.request_mark().await {
             KeyReply::Marked => {}
             KeyReply::Superseded => {
-                self.held.forget();
+                self.guard.disarm();
                 return Err(Error::AlreadyRun { failed: None });
             }
             _ => {
@@ -96,9 +96,9 @@
                 return Err(Error::Unsettled);
             }
         }
-        self.held.move_to(Stage::Dispatching);
+        self.guard.set_stage(Stage::Dispatching);
         Ok(Claim {
-            held: self.held,
+            guard: self.guard,
             state: PhantomData,
         })
     }
@@ -113,20 +113,20 @@
 {
     /// Ends the claim once the request has ended.
     pub async fn end(mut self, outcome: Outcome) {
-        self.held.move_to(Stage::Ended(outcome));
-        self.held.report().await;
+        self.guard.set_stage(Stage::Ended(outcome));
+        self.guard.report().await;
     }
 
     async fn claim_in_store(mut self) -> Result<Self> {
-        let inner = &self.held.claims.inner;
-        let (id, record) = (&self.held.id, &self.held.record);
+        let inner = &self.guard.claims.inner;
+        let (id, record) = (&self.guard.id, &self.guard.record);
         let mut create = store_claim::Create::new(id, &record.holder, record.stored);
         // A store that answers too late would hold the caller through every retry of each call.
         // A write that is given up here may still take effect, like one whose answer is lost.
-        let clock = &inner.keeper.inner.clock;
+        let clock = &inner.owner.inner.clock;
         let creating = create.run(&inner.store, &inner.budget);
-        let created = clock::timeout(clock, STORE_LIMIT, creating).await;
-        self.held.may_be_stored = created.is_none() || create.may_be_stored();
+        let created = clock::timeout(clock, STORE_TIMEOUT, creating).await;
+        self.guard.may_be_stored = created.is_none() || create.may_be_stored();
         let created = created.unwrap_or(Err(store_claim::Error::Unavailable));
         match created {
             Ok(()) => Ok(self),
@@ -156,18 +156,18 @@
     /// Who holds the claim, with its number.
     #[must_use]
     pub fn holder(&self) -> &Holder {
-        &self.held.record.holder
+        &self.guard.record.holder
     }
 
     /// The key.
     #[must_use]
     pub fn id(&self) -> KeyId {
-        self.held.id
+        self.guard.id
     }
 
     /// Frees the key: nothing was sent to a target and nothing will be.
     pub async fn release(mut self) {
-        self.held.free();
-        self.held.report().await;
+        self.guard.free();
+        self.guard.report().await;
     }
 }
--- a/crates/lilaccrank/src/request_key/claims.rs
+++ b/crates/lilaccrank/src/request_key/claims.rs
@@ -14,10 +14,10 @@
 use crate::peers::Peers;
 use crate::request_key::budget::Budget;
 use crate::request_key::claim::{Claim, Claimed};
-use crate::request_key::held::{Asked, Held};
-use crate::request_key::keeper::Keeper;
+use crate::request_key::guard::{ClaimGuard, PendingClaim};
 use crate::request_key::key_id::{BodyDigest, KeyId};
 use crate::request_key::message::{KeyReply, KeyRequest};
+use crate::request_key::owner::KeyOwner;
 use crate::request_key::ranking::{MemberRef, Ranking};
 use crate::request_key::record::{Holder, Record, Stage};
 use crate::store::{self, Expect, Store};
@@ -84,7 +84,7 @@
 
 /// A request that wants its key.
 #[derive(Clone, Debug)]
-pub struct Wanted {
+pub struct ClaimRequest {
     /// Digest of the body.
     pub body: BodyDigest,
     /// Scope of the key.
@@ -126,10 +126,10 @@
 pub(super) struct Inner<C, P, R, S> {
     attempts: Cell<u64>,
     pub(super) budget: Budget<C>,
-    pub(super) keeper: Keeper<C, P, R>,
+    pub(super) owner: KeyOwner<C, P, R>,
     pub(super) store: S,
     unsent: RefCell<VecDeque<(KeyId, KeyRequest)>>,
-    wait_at_most: Duration,
+    retry_timeout: Duration,
 }
 
 impl<C, P, R, S> Clone for Claims<C, P, R, S> {
@@ -151,18 +151,18 @@
     /// that can't tell is asked again for `wait_at_most`.
     #[must_use]
     pub fn new(
-        keeper: Keeper<C, P, R>,
+        owner: KeyOwner<C, P, R>,
         store: S,
         budget: Budget<C>,
-        wait_at_most: Duration,
+        retry_timeout: Duration,
     ) -> Self {
         let inner = Inner {
             attempts: Cell::new(0),
             budget,
-            keeper,
+            owner,
             store,
             unsent: RefCell::new(VecDeque::new()),
-            wait_at_most,
+            retry_timeout,
         };
         Self {
             inner: Rc::new(inner),
@@ -174,27 +174,27 @@
     /// # Errors
     ///
     /// All kinds but [`Error::RateLimited`] and [`Error::StoreUnavailable`].
-    pub async fn claim(&self, wanted: &Wanted) -> Result<Access<C, P, R, S>> {
-        let id = KeyId::new(&wanted.customer, &wanted.key);
+    pub async fn claim(&self, request: &ClaimRequest) -> Result<Access<C, P, R, S>> {
+        let id = KeyId::new(&request.customer, &request.key);
         let attempt = self.inner.attempts.get() + 1;
         self.inner.attempts.set(attempt);
         let entry = self.me();
         let req = KeyRequest::Claim {
             attempt,
-            body: wanted.body,
+            body: request.body,
             entry: entry.clone(),
             id,
-            idempotent: wanted.idempotent,
+            idempotent: request.idempotent,
         };
-        let mut asked = Asked {
+        let mut pending = PendingClaim {
             answered: false,
             attempt,
             claims: self.clone(),
             entry: entry.clone(),
             id,
         };
-        let reply = self.ask(&id, req).await;
-        asked.answered = !matches!(reply, KeyReply::NotKeeper | KeyReply::Unsettled);
+        let reply = self.call_owner(&id, req).await;
+        pending.answered = !matches!(reply, KeyReply::NotOwner | KeyReply::Unsettled);
         match reply {
             KeyReply::Claimed {
                 claim,
@@ -203,7 +203,7 @@
                 stored,
             } => {
                 let record = Record {
-                    body: wanted.body,
+                    body: request.body,
                     holder: Holder {
                         attempt,
                         claim,
@@ -214,7 +214,7 @@
                     stage: Stage::Claimed,
                     stored,
                 };
-                Ok(Access::Granted(Claim::new(Held::new(
+                Ok(Access::Granted(Claim::new(ClaimGuard::new(
                     self.clone(),
                     id,
                     record,
@@ -237,17 +237,17 @@
             let Some((id, req)) = next else { break };
             // A silent keeper costs the time limit of a call. Without a stop here a long queue
             // for it would hold up the messages to all others; so it goes to the end.
-            if !self.send(id, req).await {
+            if !self.send_or_enqueue(id, req).await {
                 break;
             }
         }
-        for id in self.inner.keeper.due_for_deletion(SWEEP_LIMIT) {
-            if !self.inner.budget.try_take_spare() {
+        for id in self.inner.owner.due_for_deletion(SWEEP_LIMIT) {
+            if !self.inner.budget.try_take_low_priority() {
                 return;
             }
             let name = id.object_name();
             match self.inner.store.delete(&name, Expect::Any).await {
-                Ok(()) | Err(store::Error::Conflict { .. }) => self.inner.keeper.forget(&id),
+                Ok(()) | Err(store::Error::Conflict { .. }) => self.inner.owner.forget(&id),
                 Err(_) => return,
             }
         }
@@ -256,7 +256,7 @@
     /// Calls [`sweep`](Self::sweep) for ever, once per `every`.
     pub async fn sweep_every(&self, every: Duration) {
         loop {
-            self.inner.keeper.inner.clock.sleep(every).await;
+            self.inner.owner.inner.clock.sleep(every).await;
             self.sweep().await;
         }
     }
@@ -268,17 +268,17 @@
     }
 
     pub(super) fn me(&self) -> MemberRef {
-        self.inner.keeper.inner.ranking.me()
+        self.inner.owner.inner.ranking.me()
     }
 
     /// Asks the keeper of `id` until it can tell, for a bounded time.
-    pub(super) async fn ask(&self, id: &KeyId, req: KeyRequest) -> KeyReply {
-        let clock = &self.inner.keeper.inner.clock;
-        let until = clock.now() + self.inner.wait_at_most;
+    pub(super) async fn call_owner(&self, id: &KeyId, req: KeyRequest) -> KeyReply {
+        let clock = &self.inner.owner.inner.clock;
+        let until = clock.now() + self.inner.retry_timeout;
         let mut backoff = Backoff::new(RETRY_FIRST, RETRY_LIMIT);
         loop {
-            let reply = self.ask_once(id, req.clone()).await;
-            let retry = matches!(reply, KeyReply::NotKeeper | KeyReply::Unsettled);
+            let reply = self.call_owner_once(id, req.clone()).await;
+            let retry = matches!(reply, KeyReply::NotOwner | KeyReply::Unsettled);
             if !retry || clock.now() >= until {
                 return reply;
             }
@@ -287,16 +287,16 @@
     }
 
     /// Tells the keeper once, and later again if it did not take it; whether it did.
-    pub(super) async fn send(&self, id: KeyId, req: KeyRequest) -> bool {
-        let reply = self.ask_once(&id, req.clone()).await;
-        let taken = !matches!(reply, KeyReply::NotKeeper | KeyReply::Unsettled);
-        if !taken {
-            self.send_later(id, req);
+    pub(super) async fn send_or_enqueue(&self, id: KeyId, req: KeyRequest) -> bool {
+        let reply = self.call_owner_once(&id, req.clone()).await;
+        let accepted = !matches!(reply, KeyReply::NotOwner | KeyReply::Unsettled);
+        if !accepted {
+            self.enqueue(id, req);
         }
-        taken
+        accepted
     }
 
-    pub(super) fn send_later(&self, id: KeyId, req: KeyRequest) {
+    pub(super) fn enqueue(&self, id: KeyId, req: KeyRequest) {
         let mut unsent = self.inner.unsent.borrow_mut();
         if unsent.len() == UNSENT_LIMIT {
             unsent.pop_front();
@@ -304,14 +304,14 @@
         unsent.push_back((id, req));
     }
 
-    async fn ask_once(&self, id: &KeyId, req: KeyRequest) -> KeyReply {
-        let inner = &self.inner.keeper.inner;
+    async fn call_owner_once(&self, id: &KeyId, req: KeyRequest) -> KeyReply {
+        let inner = &self.inner.owner.inner;
         let ranked = inner.ranking.ranked(id.hash());
         let Some(first) = ranked.first() else {
             return KeyReply::Unsettled;
         };
         if *first == inner.ranking.me() {
-            return self.inner.keeper.handle(req).await;
+            return self.inner.owner.handle(req).await;
         }
         let reply = inner.peers.call(&first.vm, req).await;
         reply.unwrap_or(KeyReply::Unsettled)
--- a/crates/lilaccrank/src/request_key/held.rs
+++ b/crates/lilaccrank/src/request_key/guard.rs
@@ -15,7 +15,7 @@
 /// The task of a request is dropped when its caller goes away. A claim left behind would send
 /// each repeat to this daemon, which runs nothing; so the drop leaves a message to the keeper,
 /// which the next sweep sends.
-pub(super) struct Held<C, P, R, S>
+pub(super) struct ClaimGuard<C, P, R, S>
 where
     C: Clock,
     P: Peers<KeyRequest, KeyReply>,
@@ -23,13 +23,13 @@
     S: Store,
 {
     pub(super) claims: Claims<C, P, R, S>,
-    closed: bool,
+    disarmed: bool,
     pub(super) id: KeyId,
     pub(super) may_be_stored: bool,
     pub(super) record: Record,
 }
 
-impl<C, P, R, S> Held<C, P, R, S>
+impl<C, P, R, S> ClaimGuard<C, P, R, S>
 where
     C: Clock,
     P: Peers<KeyRequest, KeyReply>,
@@ -37,29 +37,29 @@
     S: Store,
 {
     pub(super) fn new(claims: Claims<C, P, R, S>, id: KeyId, record: Record) -> Self {
-        let held = Self {
+        let guard = Self {
             claims,
-            closed: false,
+            disarmed: false,
             id,
             may_be_stored: false,
             record,
         };
-        held.witness();
-        held
+        guard.save_local();
+        guard
     }
 
     /// Asks the keeper to mark the claim.
-    pub(super) async fn ask_mark(&self) -> KeyReply {
+    pub(super) async fn request_mark(&self) -> KeyReply {
         let req = KeyRequest::Mark {
             holder: self.record.holder.clone(),
             id: self.id,
         };
-        self.claims.ask(&self.id, req).await
+        self.claims.call_owner(&self.id, req).await
     }
 
     /// Somebody else holds the key now; there is nothing to report.
-    pub(super) fn forget(&mut self) {
-        self.closed = true;
+    pub(super) fn disarm(&mut self) {
+        self.disarmed = true;
     }
 
     /// Frees the key.
@@ -67,19 +67,21 @@
         let holder = self.record.holder.clone();
         self.record
             .release(&holder.entry, holder.attempt, self.may_be_stored);
-        self.witness();
+        self.save_local();
     }
 
     /// Notes the stage here; the keeper hears of it by [`report`](Self::report).
-    pub(super) fn move_to(&mut self, stage: Stage) {
+    pub(super) fn set_stage(&mut self, stage: Stage) {
         self.record.stage = stage;
-        self.witness();
+        self.save_local();
     }
 
     /// Tells the keeper how the claim ended.
     pub(super) async fn report(mut self) {
-        self.claims.send(self.id, self.last_message()).await;
-        self.closed = true;
+        self.claims
+            .send_or_enqueue(self.id, self.last_message())
+            .await;
+        self.disarmed = true;
     }
 
     fn last_message(&self) -> KeyRequest {
@@ -99,13 +101,13 @@
         }
     }
 
-    fn witness(&self) {
-        let keeper = &self.claims.inner.keeper;
-        keeper.witness(self.id, self.record.clone());
+    fn save_local(&self) {
+        let owner = &self.claims.inner.owner;
+        owner.save_local(self.id, self.record.clone());
     }
 }
 
-impl<C, P, R, S> Drop for Held<C, P, R, S>
+impl<C, P, R, S> Drop for ClaimGuard<C, P, R, S>
 where
     C: Clock,
     P: Peers<KeyRequest, KeyReply>,
@@ -113,24 +115,24 @@
     S: Store,
 {
     fn drop(&mut self) {
-        if self.closed {
+        if self.disarmed {
             return;
         }
         match self.record.stage {
             Stage::Claimed => self.free(),
             Stage::Dispatching => {
                 let cancelled = Outcome::Failed(ErrorKind::Cancelled);
-                self.move_to(Stage::Ended(cancelled));
+                self.set_stage(Stage::Ended(cancelled));
             }
             Stage::Ended(_) | Stage::Free => {}
         }
-        self.claims.send_later(self.id, self.last_message());
+        self.claims.enqueue(self.id, self.last_message());
     }
 }
 
 /// A claim whose grant is on its way. Unless it is answered, by a definite reply, its release
 /// is left for the next sweep: the grant may have been made and its reply lost.
-pub(super) struct Asked<C, P, R, S>
+pub(super) struct PendingClaim<C, P, R, S>
 where
     C: Clock,
     P: Peers<KeyRequest, KeyReply>,
@@ -144,7 +146,7 @@
     pub(super) id: KeyId,
 }
 
-impl<C, P, R, S> Drop for Asked<C, P, R, S>
+impl<C, P, R, S> Drop for PendingClaim<C, P, R, S>
 where
     C: Clock,
     P: Peers<KeyRequest, KeyReply>,
@@ -161,6 +163,6 @@
             id: self.id,
             may_be_stored: false,
         };
-        self.claims.send_later(self.id, release);
+        self.claims.enqueue(self.id, release);
     }
 }
--- a/crates/lilaccrank/src/request_key/handover.rs
+++ b/crates/lilaccrank/src/request_key/handover.rs
@@ -7,11 +7,11 @@
 use crate::clock::Clock;
 use crate::ids::VmId;
 use crate::peers::Peers;
-use crate::request_key::keeper::Keeper;
 use crate::request_key::key_id::KeyId;
-use crate::request_key::message::{KeyReply, KeyRequest, Moved};
-use crate::request_key::owners::{self, Digest, OWNERS, View};
+use crate::request_key::message::{KeyReply, KeyRequest, MovedRecord};
+use crate::request_key::owner::KeyOwner;
 use crate::request_key::ranking::{MemberRef, Ranking};
+use crate::request_key::replicas::{self, MembersDigest, REPLICAS, View};
 
 /// What one page takes at most: bounds how long it keeps the daemon from other work, and its
 /// size on the wire.
@@ -21,28 +21,28 @@
     scanned: usize,
 }
 
-const PAGE: PageLimit = PageLimit {
+const PAGE_LIMIT: PageLimit = PageLimit {
     moved: 512,
     ranked: 256,
     scanned: 16_384,
 };
 
-impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> Keeper<C, P, R> {
+impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> KeyOwner<C, P, R> {
     /// Called by [`run`](Self::run) at the start and after each change of the members: pushes records to
     /// their new owners and asks every live member for what this daemon now owns. Until that
     /// is done, claims get [`KeyReply::Unsettled`]. Returns early if the members change again.
-    pub async fn members_changed(&self) {
+    pub async fn handle_membership_change(&self) {
         self.tick_if_paused();
         let view = self.inner.ranking.ranked(0);
-        let pauses = self.inner.pauses.get();
-        self.inner.settled.take();
+        let pause_count = self.inner.pause_count.get();
+        self.inner.settled_view.take();
         self.push_all(&view).await;
         let me = self.inner.ranking.me();
         if view == [me.clone()] {
             // A daemon that was frozen finds all its timers expired, and may think for a moment
             // that all others are dead. Alone it needs no copy, and would run a request that
             // the others have run meanwhile. The wait gives their heartbeats time to arrive.
-            self.hold_while(&view).await;
+            self.wait_out_isolation(&view).await;
         }
         for member in view.iter().filter(|member| **member != me) {
             if !self.pull_from(member, &view).await {
@@ -50,16 +50,19 @@
             }
         }
         self.tick_if_paused();
-        if self.inner.ranking.ranked(0) == view && self.inner.pauses.get() == pauses {
-            *self.inner.settled.borrow_mut() = Some(view);
+        if self.inner.ranking.ranked(0) == view && self.inner.pause_count.get() == pause_count {
+            *self.inner.settled_view.borrow_mut() = Some(view);
         }
     }
 
     /// Waits out the isolation hold, or until other members are seen.
-    async fn hold_while(&self, view: &[MemberRef]) {
-        let until = self.inner.clock.now() + self.inner.limits.isolation_hold;
+    async fn wait_out_isolation(&self, view: &[MemberRef]) {
+        let until = self.inner.clock.now() + self.inner.limits.isolation_wait;
         while self.inner.clock.now() < until && self.inner.ranking.ranked(0) == view {
-            self.inner.clock.sleep(self.inner.limits.retry_every).await;
+            self.inner
+                .clock
+                .sleep(self.inner.limits.retry_interval)
+                .await;
         }
     }
 
@@ -70,7 +73,7 @@
             let req = KeyRequest::Handover {
                 after,
                 live: view.to_vec(),
-                owner: self.inner.ranking.me(),
+                replica: self.inner.ranking.me(),
             };
             if let Ok(KeyReply::Handover { moved, next }) =
                 self.inner.peers.call(&member.vm, req).await
@@ -85,7 +88,10 @@
                     continue;
                 }
             }
-            self.inner.clock.sleep(self.inner.limits.retry_every).await;
+            self.inner
+                .clock
+                .sleep(self.inner.limits.retry_interval)
+                .await;
         }
         false
     }
@@ -99,9 +105,9 @@
         &self,
         after: Option<KeyId>,
         live: &[MemberRef],
-        owner: &MemberRef,
+        replica: &MemberRef,
     ) -> KeyReply {
-        if !self.inner.ranking.is_live(owner) {
+        if !self.inner.ranking.is_live(replica) {
             return KeyReply::Unsettled;
         }
         let now = self.inner.clock.now();
@@ -111,29 +117,29 @@
         let table = self.inner.table.borrow();
         let mut moved = Vec::new();
         let mut last = None;
-        let mut ranked_anew = 0;
-        for (id, slot) in table.after(after).take(PAGE.scanned) {
+        let mut newly_ranked = 0;
+        for (id, slot) in table.after(after).take(PAGE_LIMIT.scanned) {
             last = Some(*id);
-            ranked_anew += usize::from(!same_view || !view.knows_owners(slot));
-            let (owns, digest) = if same_view {
-                let owners = view.owners(ranking, id, slot);
+            newly_ranked += usize::from(!same_view || !view.has_cached_replicas(slot));
+            let (is_replica, digest) = if same_view {
+                let replicas = view.replicas(ranking, id, slot);
                 (
-                    view.resolve(owners).any(|member| member == owner),
-                    owners.digest,
+                    view.resolve(replicas).any(|member| member == replica),
+                    replicas.digest,
                 )
             } else {
                 let mut ranked = ranking.ranked(id.hash());
                 ranked.retain(|member| live.contains(member));
-                let mut top = ranked.iter().take(OWNERS);
+                let mut top = ranked.iter().take(REPLICAS);
                 (
-                    top.any(|member| member == owner),
-                    owners::digest_of_owners(&ranked),
+                    top.any(|member| member == replica),
+                    replicas::replicas_digest(&ranked),
                 )
             };
-            if owns && slot.replicated != Some(digest) {
+            if is_replica && slot.replicated_to != Some(digest) {
                 moved.push(slot.moved(*id, now));
             }
-            if moved.len() == PAGE.moved || ranked_anew == PAGE.ranked {
+            if moved.len() == PAGE_LIMIT.moved || newly_ranked == PAGE_LIMIT.ranked {
                 break;
             }
         }
@@ -153,7 +159,7 @@
                 delivered &= reply == Ok(KeyReply::Done);
             }
             if delivered {
-                self.note_replicated(page.pushed);
+                self.mark_replicated(page.pushed);
             }
             if page.last.is_none() {
                 return;
@@ -169,24 +175,24 @@
         let view = View::of(ranking);
         let table = self.inner.table.borrow();
         let mut page = PushPage::default();
-        let mut ranked_anew = 0;
-        for (id, slot) in table.after(after).take(PAGE.scanned) {
-            if page.pushed.len() == PAGE.moved || ranked_anew == PAGE.ranked {
+        let mut newly_ranked = 0;
+        for (id, slot) in table.after(after).take(PAGE_LIMIT.scanned) {
+            if page.pushed.len() == PAGE_LIMIT.moved || newly_ranked == PAGE_LIMIT.ranked {
                 break;
             }
             page.last = Some(*id);
-            ranked_anew += usize::from(!view.knows_owners(slot));
-            let owners = view.owners(ranking, id, slot);
-            if slot.replicated == Some(owners.digest) {
+            newly_ranked += usize::from(!view.has_cached_replicas(slot));
+            let replicas = view.replicas(ranking, id, slot);
+            if slot.replicated_to == Some(replicas.digest) {
                 continue;
             }
             page.pushed.push(Pushed {
                 id: *id,
-                owners: owners.digest,
-                touched: slot.touched,
+                replicas: replicas.digest,
+                changed_at: slot.changed_at,
             });
-            for owner in view.resolve(owners).filter(|owner| **owner != me) {
-                let batch = page.batches.entry(owner.vm.clone()).or_default();
+            for replica in view.resolve(replicas).filter(|replica| **replica != me) {
+                let batch = page.batches.entry(replica.vm.clone()).or_default();
                 batch.push(slot.moved(*id, now));
             }
         }
@@ -194,17 +200,19 @@
     }
 
     /// Spares the records that have reached their owners the next push and handover.
-    fn note_replicated(&self, pushed: Vec<Pushed>) {
+    fn mark_replicated(&self, pushed: Vec<Pushed>) {
         let mut table = self.inner.table.borrow_mut();
         for Pushed {
             id,
-            owners,
-            touched,
+            replicas,
+            changed_at,
         } in pushed
         {
-            let slot = table.get_mut(&id).filter(|slot| slot.touched == touched);
+            let slot = table
+                .get_mut(&id)
+                .filter(|slot| slot.changed_at == changed_at);
             if let Some(slot) = slot {
-                slot.replicated = Some(owners);
+                slot.replicated_to = Some(replicas);
             }
         }
     }
@@ -213,7 +221,7 @@
 /// Records to push, by the vm of the new owner.
 #[derive(Default)]
 struct PushPage {
-    batches: IndexMap<VmId, Vec<Moved>>,
+    batches: IndexMap<VmId, Vec<MovedRecord>>,
     last: Option<KeyId>,
     pushed: Vec<Pushed>,
 }
@@ -221,6 +229,6 @@
 /// A record as it was when it was pushed.
 struct Pushed {
     id: KeyId,
-    owners: Digest,
-    touched: Instant,
+    replicas: MembersDigest,
+    changed_at: Instant,
 }
--- a/crates/lilaccrank/src/request_key/message.rs
+++ b/crates/lilaccrank/src/request_key/message.rs
@@ -9,7 +9,7 @@
 
 /// A record on its way to another holder.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Moved {
+pub struct MovedRecord {
     /// Milliseconds since the record last changed.
     pub age_ms: u64,
     /// The key.
@@ -38,9 +38,10 @@
     /// Keeper to copy: keep this unless something known contradicts it.
     Copy {
         /// The keeper.
-        keeper: MemberRef,
+        #[serde(rename = "keeper")]
+        owner: MemberRef,
         /// The record.
-        moved: Moved,
+        moved: MovedRecord,
     },
     /// Entry to keeper: the dispatched request has ended.
     End {
@@ -58,7 +59,8 @@
         /// Members that the new owner thinks live.
         live: Vec<MemberRef>,
         /// The new owner.
-        owner: MemberRef,
+        #[serde(rename = "owner")]
+        replica: MemberRef,
     },
     /// Entry to keeper: I am about to dispatch.
     Mark {
@@ -70,7 +72,7 @@
     /// Holder to new owner: these are yours now.
     Push {
         /// The records.
-        moved: Vec<Moved>,
+        moved: Vec<MovedRecord>,
     },
     /// Entry to keeper: I have not dispatched and never will.
     Release {
@@ -108,7 +110,7 @@
     /// The copy knows a record that contradicts the keeper's.
     Conflict {
         /// The record known.
-        known: Moved,
+        known: MovedRecord,
     },
     /// Carried out.
     Done,
@@ -117,7 +119,7 @@
     /// A page of records.
     Handover {
         /// The records.
-        moved: Vec<Moved>,
+        moved: Vec<MovedRecord>,
         /// Ask again after this key; `None` at the end.
         next: Option<KeyId>,
     },
@@ -131,7 +133,8 @@
     /// The claim is marked as dispatching.
     Marked,
     /// The key is kept elsewhere.
-    NotKeeper,
+    #[serde(rename = "not_keeper")]
+    NotOwner,
     /// An entry has the request in progress.
     Running {
         /// The entry.
--- a/crates/lilaccrank/src/request_key/keeper.rs
+++ b/crates/lilaccrank/src/request_key/owner.rs
@@ -6,9 +6,9 @@
 
 use crate::clock::Clock;
 use crate::peers::Peers;
-use crate::request_key::grant::Ask;
+use crate::request_key::grant::ClaimMessage;
 use crate::request_key::key_id::KeyId;
-use crate::request_key::message::{KeyReply, KeyRequest, Moved};
+use crate::request_key::message::{KeyReply, KeyRequest, MovedRecord};
 use crate::request_key::ranking::{MemberRef, Ranking};
 use crate::request_key::record::{Holder, Outcome, Record, Stage};
 use crate::request_key::table::Table;
@@ -21,16 +21,16 @@
     /// How long the record of an ended idempotent request is kept.
     pub ended_ttl: Duration,
     /// How long a daemon that sees no other member waits before it grants claims by itself.
-    pub isolation_hold: Duration,
+    pub isolation_wait: Duration,
     /// Longest time between two ticks that is no pause of this process. Must stay below the
     /// silence after which the others call a member dead.
     pub pause_limit: Duration,
     /// Records held, for itself and for others; new claims are granted up to half of it.
-    pub records: usize,
+    pub record_limit: usize,
     /// How long the record of an ended non-idempotent request is kept.
     pub retention: Duration,
     /// Wait between two tries to hear from a member after a change.
-    pub retry_every: Duration,
+    pub retry_interval: Duration,
 }
 
 impl Default for Limits {
@@ -38,33 +38,33 @@
         Self {
             claimed_ttl: Duration::from_secs(600),
             ended_ttl: Duration::from_secs(600),
-            isolation_hold: Duration::from_secs(5),
+            isolation_wait: Duration::from_secs(5),
             pause_limit: Duration::from_secs(1),
-            records: 200_000,
+            record_limit: 200_000,
             retention: Duration::from_secs(24 * 3_600),
-            retry_every: Duration::from_millis(50),
+            retry_interval: Duration::from_millis(50),
         }
     }
 }
 
 /// Keeps the records of the keys that this daemon ranks first or second for; clones share them.
-pub struct Keeper<C, P, R> {
+pub struct KeyOwner<C, P, R> {
     pub(super) inner: Rc<Inner<C, P, R>>,
 }
 
 pub(super) struct Inner<C, P, R> {
     pub(super) clock: C,
-    pub(super) grants: Cell<u64>,
+    pub(super) grant_count: Cell<u64>,
     pub(super) limits: Limits,
-    pub(super) pauses: Cell<u64>,
+    pub(super) pause_count: Cell<u64>,
     pub(super) peers: P,
     pub(super) ranking: R,
-    pub(super) settled: RefCell<Option<Vec<MemberRef>>>,
+    pub(super) settled_view: RefCell<Option<Vec<MemberRef>>>,
     pub(super) table: RefCell<Table>,
-    ticked: Cell<Instant>,
+    last_tick: Cell<Instant>,
 }
 
-impl<C, P, R> Clone for Keeper<C, P, R> {
+impl<C, P, R> Clone for KeyOwner<C, P, R> {
     fn clone(&self) -> Self {
         Self {
             inner: Rc::clone(&self.inner),
@@ -72,22 +72,22 @@
     }
 }
 
-impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> Keeper<C, P, R> {
+impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> KeyOwner<C, P, R> {
     /// A keeper without records; it grants nothing until [`run`](Self::run) is under way.
     #[must_use]
     pub fn new(clock: C, peers: P, ranking: R, limits: Limits) -> Self {
-        let table = RefCell::new(Table::new(limits.records));
-        let ticked = Cell::new(clock.now());
+        let table = RefCell::new(Table::new(limits.record_limit));
+        let last_tick = Cell::new(clock.now());
         let inner = Inner {
             clock,
-            grants: Cell::new(0),
+            grant_count: Cell::new(0),
             limits,
-            pauses: Cell::new(0),
+            pause_count: Cell::new(0),
             peers,
             ranking,
-            settled: RefCell::new(None),
+            settled_view: RefCell::new(None),
             table,
-            ticked,
+            last_tick,
         };
         Self {
             inner: Rc::new(inner),
@@ -104,22 +104,26 @@
                 id,
                 idempotent,
             } => {
-                let ask = Ask {
+                let msg = ClaimMessage {
                     attempt,
                     body,
                     entry,
                     id,
                     idempotent,
                 };
-                self.claim(ask).await
+                self.claim(msg).await
             }
-            KeyRequest::Copy { keeper, moved } => self.accept_copy(&keeper, moved),
+            KeyRequest::Copy { owner, moved } => self.accept_copy(&owner, moved),
             KeyRequest::End {
                 holder,
                 id,
                 outcome,
             } => self.end(id, &holder, outcome).await,
-            KeyRequest::Handover { after, live, owner } => self.hand_over(after, &live, &owner),
+            KeyRequest::Handover {
+                after,
+                live,
+                replica,
+            } => self.hand_over(after, &live, &replica),
             KeyRequest::Mark { holder, id } => self.mark(id, &holder).await,
             KeyRequest::Push { moved } => self.accept_push(moved),
             KeyRequest::Release {
@@ -139,14 +143,14 @@
         let now = self.inner.clock.now();
         let ranking = &self.inner.ranking;
         self.inner.table.borrow_mut().retain(|id, slot| {
-            let age = now.saturating_duration_since(slot.touched);
+            let age = now.saturating_duration_since(slot.changed_at);
             let record = &slot.record;
             match record.stage {
                 Stage::Claimed => age < self.inner.limits.claimed_ttl,
                 Stage::Dispatching if ranking.is_live(&record.holder.entry) => true,
                 _ if age < self.ttl(record) => true,
                 // The store's object goes first, see `due_for_deletion`.
-                _ => record.owns_object() && self.is_keeper_of(id),
+                _ => record.owns_object() && self.is_owner_of(id),
             }
         });
     }
@@ -164,7 +168,7 @@
         let settle = async {
             loop {
                 if !self.is_settled() {
-                    self.members_changed().await;
+                    self.handle_membership_change().await;
                 }
                 self.inner.clock.sleep(every).await;
             }
@@ -180,10 +184,10 @@
     /// it missed tells it so.
     pub fn tick(&self) {
         let now = self.inner.clock.now();
-        let silence = now.saturating_duration_since(self.inner.ticked.replace(now));
-        if silence > self.inner.limits.pause_limit {
-            self.inner.pauses.set(self.inner.pauses.get() + 1);
-            self.inner.settled.take();
+        let since_tick = now.saturating_duration_since(self.inner.last_tick.replace(now));
+        if since_tick > self.inner.limits.pause_limit {
+            self.inner.pause_count.set(self.inner.pause_count.get() + 1);
+            self.inner.settled_view.take();
         }
     }
 
@@ -211,14 +215,14 @@
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.tick_if_paused();
-        let settled = self.inner.settled.borrow();
-        settled.as_ref() == Some(&self.inner.ranking.ranked(0))
+        let settled_view = self.inner.settled_view.borrow();
+        settled_view.as_ref() == Some(&self.inner.ranking.ranked(0))
     }
 
     /// After a pause, messages may be handled before the upkeep gets its turn.
     pub(super) fn tick_if_paused(&self) {
-        let silence = self.inner.clock.now() - self.inner.ticked.get();
-        if silence > self.inner.limits.pause_limit {
+        let since_tick = self.inner.clock.now() - self.inner.last_tick.get();
+        if since_tick > self.inner.limits.pause_limit {
             self.tick();
         }
     }
@@ -234,8 +238,8 @@
                 Stage::Dispatching => self.inner.ranking.is_live(&record.holder.entry),
                 Stage::Ended(_) | Stage::Free => false,
             };
-            let age = now.saturating_duration_since(slot.touched);
-            record.owns_object() && !running && age >= self.ttl(record) && self.is_keeper_of(id)
+            let age = now.saturating_duration_since(slot.changed_at);
+            record.owns_object() && !running && age >= self.ttl(record) && self.is_owner_of(id)
         });
         due.map(|(id, _)| *id).take(limit).collect()
     }
@@ -248,8 +252,8 @@
     ///
     /// If keeper and copy both die while the request runs, no owner would know of it and a
     /// repeat would run it again. The entry is a third holder, which a new keeper asks.
-    pub(super) fn witness(&self, id: KeyId, record: Record) {
-        let moved = Moved {
+    pub(super) fn save_local(&self, id: KeyId, record: Record) {
+        let moved = MovedRecord {
             age_ms: 0,
             id,
             record,
@@ -259,8 +263,8 @@
     }
 
     async fn mark(&self, id: KeyId, holder: &Holder) -> KeyReply {
-        if !self.is_keeper_of(&id) {
-            return KeyReply::NotKeeper;
+        if !self.is_owner_of(&id) {
+            return KeyReply::NotOwner;
         }
         if !self.is_settled() {
             return KeyReply::Unsettled;
@@ -277,8 +281,8 @@
     }
 
     async fn end(&self, id: KeyId, holder: &Holder, outcome: Outcome) -> KeyReply {
-        if !self.is_keeper_of(&id) {
-            return KeyReply::NotKeeper;
+        if !self.is_owner_of(&id) {
+            return KeyReply::NotOwner;
         }
         match self.change(&id, |record| record.end(holder, outcome)) {
             Some(record) => self.replicate(&id, &record).await,
@@ -287,8 +291,8 @@
     }
 
     async fn release(&self, id: KeyId, release: impl FnOnce(&mut Record) -> bool) -> KeyReply {
-        if !self.is_keeper_of(&id) {
-            return KeyReply::NotKeeper;
+        if !self.is_owner_of(&id) {
+            return KeyReply::NotOwner;
         }
         match self.change(&id, release) {
             Some(record) => self.replicate(&id, &record).await,
@@ -309,13 +313,13 @@
             return None;
         }
         if slot.record != before {
-            slot.replicated = None;
-            slot.touched = self.inner.clock.now();
+            slot.replicated_to = None;
+            slot.changed_at = self.inner.clock.now();
         }
         Some(slot.record.clone())
     }
 
-    pub(super) fn is_keeper_of(&self, id: &KeyId) -> bool {
+    pub(super) fn is_owner_of(&self, id: &KeyId) -> bool {
         let ranked = self.inner.ranking.ranked(id.hash());
         ranked.first() == Some(&self.inner.ranking.me())
     }
--- a/crates/lilaccrank/src/request_key/owners.rs
+++ b/crates/lilaccrank/src/request_key/replicas.rs
@@ -7,14 +7,14 @@
 use crate::request_key::table::Slot;
 
 /// Holders of each record: the keeper and its copy.
-pub(super) const OWNERS: usize = 2;
+pub(super) const REPLICAS: usize = 2;
 
 /// Names a list of members, as a hash.
-pub(super) type Digest = u64;
+pub(super) type MembersDigest = u64;
 
 /// The live members as this daemon sees them at one moment.
 pub(super) struct View {
-    digest: Digest,
+    digest: MembersDigest,
     /// The members, in the order of rank for key hash 0.
     pub(super) members: Vec<MemberRef>,
 }
@@ -24,11 +24,11 @@
 /// After a change each member asks for all records that it owns now. Ranking every record for
 /// every member that asks took seconds of processor time; with this it is done once a change.
 #[derive(Clone, Copy)]
-pub(super) struct KeyOwners {
+pub(super) struct KeyReplicas {
     /// Names the owners.
-    pub(super) digest: Digest,
-    positions: [Option<u16>; OWNERS],
-    view: Digest,
+    pub(super) digest: MembersDigest,
+    positions: [Option<u16>; REPLICAS],
+    view: MembersDigest,
 }
 
 impl View {
@@ -42,34 +42,34 @@
     }
 
     /// The owners of `id`, ranked anew only if the members have changed.
-    pub(super) fn owners(&self, ranking: &impl Ranking, id: &KeyId, slot: &Slot) -> KeyOwners {
-        let known = slot.owners.get();
-        if let Some(owners) = known.filter(|owners| owners.view == self.digest) {
-            return owners;
+    pub(super) fn replicas(&self, ranking: &impl Ranking, id: &KeyId, slot: &Slot) -> KeyReplicas {
+        let known = slot.replicas.get();
+        if let Some(replicas) = known.filter(|replicas| replicas.view == self.digest) {
+            return replicas;
         }
         let ranked = ranking.ranked(id.hash());
-        let mut positions = [None; OWNERS];
-        for (position, owner) in positions.iter_mut().zip(&ranked) {
-            *position = self.position(owner);
+        let mut positions = [None; REPLICAS];
+        for (position, replica) in positions.iter_mut().zip(&ranked) {
+            *position = self.position(replica);
         }
-        let owners = KeyOwners {
-            digest: digest_of_owners(&ranked),
+        let replicas = KeyReplicas {
+            digest: replicas_digest(&ranked),
             positions,
             view: self.digest,
         };
-        slot.owners.set(Some(owners));
-        owners
+        slot.replicas.set(Some(replicas));
+        replicas
     }
 
     /// Whether the owners of the record in `slot` need no ranking.
-    pub(super) fn knows_owners(&self, slot: &Slot) -> bool {
-        let known = slot.owners.get();
-        known.is_some_and(|owners| owners.view == self.digest)
+    pub(super) fn has_cached_replicas(&self, slot: &Slot) -> bool {
+        let known = slot.replicas.get();
+        known.is_some_and(|replicas| replicas.view == self.digest)
     }
 
     /// The members that `owners` stands for.
-    pub(super) fn resolve(&self, owners: KeyOwners) -> impl Iterator<Item = &MemberRef> {
-        let positions = owners.positions.into_iter().flatten();
+    pub(super) fn resolve(&self, replicas: KeyReplicas) -> impl Iterator<Item = &MemberRef> {
+        let positions = replicas.positions.into_iter().flatten();
         positions.filter_map(|position| self.members.get(usize::from(position)))
     }
 
@@ -80,11 +80,11 @@
 }
 
 /// Names the owners of a key in this ranking.
-pub(super) fn digest_of_owners(ranked: &[MemberRef]) -> Digest {
-    digest(&ranked[..ranked.len().min(OWNERS)])
+pub(super) fn replicas_digest(ranked: &[MemberRef]) -> MembersDigest {
+    digest(&ranked[..ranked.len().min(REPLICAS)])
 }
 
-fn digest(members: &[MemberRef]) -> Digest {
+fn digest(members: &[MemberRef]) -> MembersDigest {
     let mut hasher = xxh3::Xxh3::new();
     for member in members {
         hasher.update(&member.vm.len().to_le_bytes());
--- a/crates/lilaccrank/src/request_key/replication.rs
+++ b/crates/lilaccrank/src/request_key/replication.rs
@@ -2,14 +2,14 @@
 
 use crate::clock::Clock;
 use crate::peers::Peers;
-use crate::request_key::keeper::Keeper;
 use crate::request_key::key_id::KeyId;
-use crate::request_key::message::{KeyReply, KeyRequest, Moved};
-use crate::request_key::owners;
+use crate::request_key::message::{KeyReply, KeyRequest, MovedRecord};
+use crate::request_key::owner::KeyOwner;
 use crate::request_key::ranking::{MemberRef, Ranking};
 use crate::request_key::record::Record;
+use crate::request_key::replicas;
 
-impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> Keeper<C, P, R> {
+impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> KeyOwner<C, P, R> {
     /// Brings `record` to the second in rank. `Done` only if the copy has it, nothing changed
     /// it meanwhile and this daemon still is the keeper.
     ///
@@ -17,16 +17,16 @@
     /// does not answer is waited for until the membership calls it dead and ranks the next.
     pub(super) async fn replicate(&self, id: &KeyId, record: &Record) -> KeyReply {
         let ranked = self.inner.ranking.ranked(id.hash());
-        if let Some(second) = ranked.get(1) {
+        if let Some(backup) = ranked.get(1) {
             let moved = match self.inner.table.borrow().get(id) {
                 Some(slot) => slot.moved(*id, self.inner.clock.now()),
                 None => return KeyReply::Unsettled,
             };
             let req = KeyRequest::Copy {
-                keeper: self.inner.ranking.me(),
+                owner: self.inner.ranking.me(),
                 moved,
             };
-            match self.inner.peers.call(&second.vm, req).await {
+            match self.inner.peers.call(&backup.vm, req).await {
                 Ok(KeyReply::Done) => {}
                 Ok(KeyReply::Full) => return KeyReply::Full,
                 Ok(KeyReply::Conflict { known }) => {
@@ -36,11 +36,11 @@
                 Ok(_) | Err(_) => return KeyReply::Unsettled,
             }
         }
-        if self.record(id).as_ref() != Some(record) || !self.is_keeper_of(id) {
+        if self.record(id).as_ref() != Some(record) || !self.is_owner_of(id) {
             return KeyReply::Unsettled;
         }
         if let Some(slot) = self.inner.table.borrow_mut().get_mut(id) {
-            slot.replicated = Some(owners::digest_of_owners(&ranked));
+            slot.replicated_to = Some(replicas::replicas_digest(&ranked));
         }
         KeyReply::Done
     }
@@ -48,10 +48,10 @@
     /// Two daemons can both think that they keep a key while the members change. This one
     /// backs only the keeper that it sees itself, and no record that contradicts its own, so at
     /// most one of them is acknowledged.
-    pub(super) fn accept_copy(&self, keeper: &MemberRef, moved: Moved) -> KeyReply {
+    pub(super) fn accept_copy(&self, owner: &MemberRef, moved: MovedRecord) -> KeyReply {
         let ranked = self.inner.ranking.ranked(moved.id.hash());
-        if ranked.first() != Some(keeper) {
-            return KeyReply::NotKeeper;
+        if ranked.first() != Some(owner) {
+            return KeyReply::NotOwner;
         }
         let now = self.inner.clock.now();
         let id = moved.id;
@@ -65,12 +65,12 @@
             return KeyReply::Full;
         }
         if let Some(slot) = table.get_mut(&id) {
-            slot.replicated = Some(owners::digest_of_owners(&ranked));
+            slot.replicated_to = Some(replicas::replicas_digest(&ranked));
         }
         KeyReply::Done
     }
 
-    pub(super) fn accept_push(&self, moved: Vec<Moved>) -> KeyReply {
+    pub(super) fn accept_push(&self, moved: Vec<MovedRecord>) -> KeyReply {
         let now = self.inner.clock.now();
         let mut table = self.inner.table.borrow_mut();
         let stored = moved.into_iter().all(|moved| table.absorb(moved, now));
--- a/crates/lilaccrank/src/request_key/store_claim.rs
+++ b/crates/lilaccrank/src/request_key/store_claim.rs
@@ -13,7 +13,7 @@
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Tries to create the object while neither the write nor the reading back tells.
-const TRIES: usize = 3;
+const ATTEMPT_LIMIT: usize = 3;
 
 /// Why the claim was not made.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
@@ -70,7 +70,7 @@
         let value = serde_json::to_vec(self.holder).map_err(|_| Error::Unavailable)?;
         let value = Bytes::from(value);
         let mut expect = Expect::Absent;
-        for _ in 0..TRIES {
+        for _ in 0..ATTEMPT_LIMIT {
             match store.put(&self.name, value.clone(), expect).await {
                 Ok(_) => return Ok(()),
                 Err(store::Error::Conflict { .. }) => {}
@@ -78,35 +78,35 @@
                 Err(store::Error::Throttled { .. }) => return Err(Error::Throttled),
                 Err(_) => return Err(Error::Unavailable),
             }
-            budget.take_in_debt();
+            budget.force_take();
             let found = store.get(&self.name).await;
             expect = match found.map_err(|_| Error::Unavailable)? {
                 None => Expect::Absent,
-                Some(found) => match judge(&found, self.holder, self.stored)? {
-                    Found::Mine => return Ok(()),
-                    Found::Released(version) => Expect::Version(version),
+                Some(found) => match classify(&found, self.holder, self.stored)? {
+                    Existing::Own => return Ok(()),
+                    Existing::Released(version) => Expect::Version(version),
                 },
             };
-            budget.take_in_debt();
+            budget.force_take();
         }
         Err(Error::Unavailable)
     }
 }
 
-enum Found {
-    Mine,
+enum Existing {
+    Own,
     Released(Version),
 }
 
-fn judge(found: &Versioned, holder: &Holder, stored: Option<ClaimNumber>) -> Result<Found> {
+fn classify(found: &Versioned, holder: &Holder, stored: Option<ClaimNumber>) -> Result<Existing> {
     let Ok(known) = serde_json::from_slice::<Holder>(&found.value) else {
         return Err(Error::Taken);
     };
     if known == *holder {
-        return Ok(Found::Mine);
+        return Ok(Existing::Own);
     }
     if stored == Some(known.claim) {
-        return Ok(Found::Released(found.version));
+        return Ok(Existing::Released(found.version));
     }
     Err(Error::Taken)
 }
--- a/crates/lilaccrank/src/request_key/table.rs
+++ b/crates/lilaccrank/src/request_key/table.rs
@@ -6,20 +6,20 @@
 use std::time::{Duration, Instant};
 
 use crate::request_key::key_id::KeyId;
-use crate::request_key::message::Moved;
-use crate::request_key::owners::{Digest, KeyOwners};
+use crate::request_key::message::MovedRecord;
 use crate::request_key::record::Record;
+use crate::request_key::replicas::{KeyReplicas, MembersDigest};
 
 /// A record as held here.
 pub(super) struct Slot {
     /// The owners in the view in which they were last looked up.
-    pub owners: Cell<Option<KeyOwners>>,
+    pub replicas: Cell<Option<KeyReplicas>>,
     /// The record.
     pub record: Record,
     /// The owners that have acknowledged this very state of the record.
-    pub replicated: Option<Digest>,
+    pub replicated_to: Option<MembersDigest>,
     /// When the record last changed.
-    pub touched: Instant,
+    pub changed_at: Instant,
 }
 
 /// Records by key. Ordered, unlike the other maps of the library, because a handover reads it
@@ -60,15 +60,15 @@
     }
 
     /// Puts `record` in the place of whatever is known; false if there is no room.
-    pub fn put(&mut self, id: KeyId, record: Record, touched: Instant) -> bool {
+    pub fn put(&mut self, id: KeyId, record: Record, changed_at: Instant) -> bool {
         if self.slots.len() >= self.limit && !self.slots.contains_key(&id) {
             return false;
         }
         let slot = Slot {
-            owners: Cell::new(None),
+            replicas: Cell::new(None),
             record,
-            replicated: None,
-            touched,
+            replicated_to: None,
+            changed_at,
         };
         self.slots.insert(id, slot);
         true
@@ -76,14 +76,14 @@
 
     /// Takes in what another holder knows, unless what is known here is newer; false if there
     /// is no room.
-    pub fn absorb(&mut self, moved: Moved, now: Instant) -> bool {
+    pub fn absorb(&mut self, moved: MovedRecord, now: Instant) -> bool {
         let known = self.slots.get(&moved.id).map(|slot| &slot.record);
         if known.is_some_and(|known| *known == moved.record || !moved.record.supersedes(known)) {
             return true;
         }
         let age = Duration::from_millis(moved.age_ms);
-        let touched = now.checked_sub(age).unwrap_or(now);
-        self.put(moved.id, moved.record, touched)
+        let changed_at = now.checked_sub(age).unwrap_or(now);
+        self.put(moved.id, moved.record, changed_at)
     }
 
     /// Removes the slot of `id`.
@@ -105,9 +105,9 @@
 
 impl Slot {
     /// The record with its age, for another holder.
-    pub fn moved(&self, id: KeyId, now: Instant) -> Moved {
-        let age = now.saturating_duration_since(self.touched);
-        Moved {
+    pub fn moved(&self, id: KeyId, now: Instant) -> MovedRecord {
+        let age = now.saturating_duration_since(self.changed_at);
+        MovedRecord {
             age_ms: u64::try_from(age.as_millis()).unwrap_or(u64::MAX),
             id,
             record: self.record.clone(),
--- a/crates/lilaccrank/tests/suite/request_key/cluster.rs
+++ b/crates/lilaccrank/tests/suite/request_key/cluster.rs
@@ -15,18 +15,18 @@
 use lilaccrank::paused_clock::PausedClock;
 use lilaccrank::peers::{self, Peers};
 use lilaccrank::request_key::{
-    Access, BodyDigest, Budget, Claim, Claimed, Claims, Keeper, KeyReply, KeyRequest, Limits,
-    Marked, MemberRef, Ranking, Result, Wanted,
+    Access, BodyDigest, Budget, Claim, ClaimRequest, Claimed, Claims, KeyOwner, KeyReply,
+    KeyRequest, Limits, Marked, MemberRef, Ranking, Result,
 };
 use lilaccrank::store::{self, Expect, Store, Version, Versioned};
 
 pub type TestAccess = Access<PausedClock, FakePeers, View, FakeStore>;
 pub type TestClaim = Claim<Claimed, PausedClock, FakePeers, View, FakeStore>;
 pub type TestMarked = Claim<Marked, PausedClock, FakePeers, View, FakeStore>;
-pub type TestKeeper = Keeper<PausedClock, FakePeers, View>;
+pub type TestOwner = KeyOwner<PausedClock, FakePeers, View>;
 
 const CALL_LIMIT: Duration = Duration::from_millis(500);
-const WAIT_AT_MOST: Duration = Duration::from_secs(2);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What one daemon thinks of the membership; lower vm numbers rank first for every key.
 #[derive(Clone)]
@@ -65,7 +65,7 @@
 pub struct FakePeers {
     clock: PausedClock,
     down: Rc<RefCell<Vec<VmId>>>,
-    keepers: Rc<RefCell<IndexMap<VmId, TestKeeper>>>,
+    owners: Rc<RefCell<IndexMap<VmId, TestOwner>>>,
     loss: Rc<Cell<Loss>>,
 }
 
@@ -78,9 +78,9 @@
             self.clock.sleep(CALL_LIMIT).await;
             return Err(peers::Error::NoAnswer(vm.clone()));
         }
-        let keeper = self.keepers.borrow()[vm].clone();
+        let owner = self.owners.borrow()[vm].clone();
         let handled: LocalBoxFuture<KeyReply> =
-            async move { keeper.handle(req).await }.boxed_local();
+            async move { owner.handle(req).await }.boxed_local();
         let reply = handled.await;
         if !internal && self.loss.get() == Loss::Replies {
             self.clock.sleep(CALL_LIMIT).await;
@@ -111,7 +111,7 @@
 }
 
 impl FakeStore {
-    fn called(&self) -> store::Result<()> {
+    fn count_call(&self) -> store::Result<()> {
         self.calls.set(self.calls.get() + 1);
         match self.fault.get() {
             Some(Fault::Away) => Err(store::Error::Unavailable),
@@ -122,12 +122,12 @@
 
 impl Store for FakeStore {
     async fn get(&self, key: &str) -> store::Result<Option<Versioned>> {
-        self.called()?;
+        self.count_call()?;
         Ok(self.objects.borrow().get(key).cloned())
     }
 
     async fn put(&self, key: &str, value: Bytes, expect: Expect) -> store::Result<Version> {
-        self.called()?;
+        self.count_call()?;
         let fault = self.fault.take();
         if fault == Some(Fault::LostWrite) {
             return Err(store::Error::Unknown);
@@ -155,7 +155,7 @@
     }
 
     async fn delete(&self, key: &str, _expect: Expect) -> store::Result<()> {
-        self.called()?;
+        self.count_call()?;
         self.objects.borrow_mut().shift_remove(key);
         Ok(())
     }
@@ -172,7 +172,7 @@
 
 pub struct Daemon {
     pub claims: Claims<PausedClock, FakePeers, View, FakeStore>,
-    pub keeper: TestKeeper,
+    pub owner: TestOwner,
     pub view: View,
 }
 
@@ -190,7 +190,7 @@
     }
 
     pub fn with_limits(size: usize, limits: Limits) -> Self {
-        Self::with(size, limits, WAIT_AT_MOST)
+        Self::with(size, limits, RETRY_TIMEOUT)
     }
 
     /// Daemons whose entries ask the keeper for at most `wait`.
@@ -199,7 +199,7 @@
         let peers = FakePeers {
             clock: clock.clone(),
             down: Rc::default(),
-            keepers: Rc::default(),
+            owners: Rc::default(),
             loss: Rc::default(),
         };
         let mut cluster = Self {
@@ -228,14 +228,14 @@
         let live = Rc::new(RefCell::new(live));
         let view = View { live, me };
         let (clock, peers) = (self.clock.clone(), self.peers.clone());
-        let keeper = Keeper::new(clock.clone(), peers, view.clone(), limits);
-        let mut keepers = self.peers.keepers.borrow_mut();
-        keepers.insert(view.me.vm.clone(), keeper.clone());
+        let owner = KeyOwner::new(clock.clone(), peers, view.clone(), limits);
+        let mut owners = self.peers.owners.borrow_mut();
+        owners.insert(view.me.vm.clone(), owner.clone());
         let budget = Budget::new(clock, 10.0, 20.0);
-        let claims = Claims::new(keeper.clone(), self.store.clone(), budget, wait);
+        let claims = Claims::new(owner.clone(), self.store.clone(), budget, wait);
         Daemon {
             claims,
-            keeper,
+            owner,
             view,
         }
     }
@@ -251,7 +251,7 @@
                 return output;
             }
             pool.run_until_stalled();
-            self.running().for_each(|daemon| daemon.keeper.tick());
+            self.running().for_each(|daemon| daemon.owner.tick());
             self.clock.advance(Duration::from_millis(10));
         }
         panic!("no end after 100 s");
@@ -270,14 +270,14 @@
     }
 
     /// Daemon `index` sees the members `live`, in this order.
-    pub fn see(&self, index: usize, live: impl Iterator<Item = usize>) {
+    pub fn set_view(&self, index: usize, live: impl Iterator<Item = usize>) {
         *self.daemons[index].view.live.borrow_mut() = live.map(member).collect();
     }
 
     /// Everybody sees the members `live`, in this order.
     pub fn rejoin(&self, live: &[usize]) {
         for index in 0..self.daemons.len() {
-            self.see(index, live.iter().copied());
+            self.set_view(index, live.iter().copied());
         }
     }
 
@@ -296,7 +296,7 @@
     /// Runs the handover of all running daemons.
     pub fn settle(&self) {
         for daemon in self.running() {
-            self.run(daemon.keeper.members_changed());
+            self.run(daemon.owner.handle_membership_change());
         }
     }
 
@@ -310,25 +310,25 @@
         self.peers.loss.set(loss);
     }
 
-    pub fn ask(&self, index: usize, req: KeyRequest) -> KeyReply {
-        self.run(self.daemons[index].keeper.handle(req))
+    pub fn call_owner(&self, index: usize, req: KeyRequest) -> KeyReply {
+        self.run(self.daemons[index].owner.handle(req))
     }
 
-    pub fn claim(&self, index: usize, wanted: &Wanted) -> Result<TestAccess> {
-        self.run(self.daemons[index].claims.claim(wanted))
+    pub fn claim(&self, index: usize, request: &ClaimRequest) -> Result<TestAccess> {
+        self.run(self.daemons[index].claims.claim(request))
     }
 
     /// Claims where nothing stands against it.
-    pub fn granted(&self, index: usize, wanted: &Wanted) -> TestClaim {
-        match self.claim(index, wanted) {
+    pub fn granted(&self, index: usize, request: &ClaimRequest) -> TestClaim {
+        match self.claim(index, request) {
             Ok(Access::Granted(claim)) => claim,
             Ok(_) => panic!("in progress elsewhere"),
             Err(e) => panic!("refused: {e}"),
         }
     }
 
-    pub fn marked(&self, index: usize, wanted: &Wanted) -> TestMarked {
-        let claim = self.granted(index, wanted);
+    pub fn marked(&self, index: usize, request: &ClaimRequest) -> TestMarked {
+        let claim = self.granted(index, request);
         self.run(claim.mark_dispatching()).unwrap()
     }
 }
@@ -340,8 +340,8 @@
     }
 }
 
-pub fn wanted(idempotent: bool) -> Wanted {
-    Wanted {
+pub fn request(idempotent: bool) -> ClaimRequest {
+    ClaimRequest {
         body: BodyDigest::new(b"body"),
         customer: "acme".to_owned(),
         idempotent,
--- a/crates/lilaccrank/tests/suite/request_key/failures.rs
+++ b/crates/lilaccrank/tests/suite/request_key/failures.rs
@@ -6,14 +6,14 @@
 use lilaccrank::clock::Clock;
 use lilaccrank::error_kind::Ran;
 use lilaccrank::request_key::{
-    Access, BodyDigest, ClaimNumber, Error, Holder, KeyId, KeyReply, KeyRequest, Limits, Moved,
-    Outcome, Record, Stage,
+    Access, BodyDigest, ClaimNumber, Error, Holder, KeyId, KeyReply, KeyRequest, Limits,
+    MovedRecord, Outcome, Record, Stage,
 };
 
-use crate::request_key::cluster::{Cluster, Loss, TestAccess, member, wanted};
+use crate::request_key::cluster::{Cluster, Loss, TestAccess, member, request};
 
 const HELD: Outcome = Outcome::Held { until_ms: 60_000 };
-const RAN: Option<Error> = Some(Error::AlreadyRun { failed: None });
+const ALREADY_RUN: Option<Error> = Some(Error::AlreadyRun { failed: None });
 
 /// A repeat at daemon 2 after daemon 1 has marked its claim and the listed daemons were killed.
 macro_rules! repeat_after_mark {
@@ -21,11 +21,11 @@
         #[test]
         fn $name() {
             let cluster = Cluster::new(4);
-            let _running = cluster.marked(1, &wanted(true));
+            let _running = cluster.marked(1, &request(true));
             for index in $killed {
                 cluster.kill(index);
             }
-            let repeat = cluster.claim(2, &wanted(true));
+            let repeat = cluster.claim(2, &request(true));
             assert!(matches!(repeat, $expected));
         }
     };
@@ -35,7 +35,7 @@
 // record, it must answer "running there" as long as the entry lives, and "may have run" after.
 repeat_after_mark!(repeat_attaches, kill [], Ok(Access::Running { .. }));
 repeat_after_mark!(
-    repeat_attaches_without_keeper,
+    repeat_attaches_without_owner,
     kill[0],
     Ok(Access::Running { .. })
 );
@@ -44,56 +44,56 @@
     kill[1],
     Err(Error::AlreadyRun { .. })
 );
-repeat_after_mark!(repeat_of_a_dead_entry_and_keeper, kill [0, 1], Err(Error::AlreadyRun { .. }));
+repeat_after_mark!(repeat_of_a_dead_entry_and_owner, kill [0, 1], Err(Error::AlreadyRun { .. }));
 
 fn refused(access: Result<TestAccess, Error>) -> Option<Error> {
     access.err()
 }
 
 #[test]
-fn keeper_killed_between_claim_and_mark() {
+fn owner_killed_between_claim_and_mark() {
     // The caller sees one answer. Its entry claims, the keeper dies, the entry marks at the
     // successor. The successor has the claim as its copy, so the mark finds it; and a repeat
     // that comes first is sent to the entry and gets no claim of its own.
     let cluster = Cluster::new(3);
-    let claim = cluster.granted(2, &wanted(true));
+    let claim = cluster.granted(2, &request(true));
     cluster.kill(0);
-    let repeat = cluster.claim(1, &wanted(true));
+    let repeat = cluster.claim(1, &request(true));
     assert!(matches!(repeat, Ok(Access::Running { entry }) if entry == member(2)));
     assert!(cluster.run(claim.mark_dispatching()).is_ok());
 }
 
 #[test]
-fn keeper_and_copy_change_at_once() {
+fn owner_and_backup_change_at_once() {
     // Keeper 0 and copy 1 freeze, 2 and 3 take over and run the request, and both thaw into the
     // membership that they knew. Neither has heard of the key, and 0 sees no change of members.
     // It may not grant the repeat before it has asked the others: it says so, not "unknown".
     let cluster = Cluster::new(4);
     cluster.stop(0);
     cluster.kill(1);
-    let _running = cluster.marked(3, &wanted(true));
+    let _running = cluster.marked(3, &request(true));
     cluster.clock.advance(Duration::from_secs(5));
     cluster.thaw(0);
     cluster.thaw(1);
     cluster.rejoin(&[0, 1, 2, 3]);
     assert_eq!(
-        refused(cluster.claim(0, &wanted(true))),
+        refused(cluster.claim(0, &request(true))),
         Some(Error::Unsettled)
     );
     cluster.settle();
-    let repeat = cluster.claim(0, &wanted(true));
+    let repeat = cluster.claim(0, &request(true));
     assert!(matches!(repeat, Ok(Access::Running { entry }) if entry == member(3)));
 }
 
 #[test]
-fn keeper_and_copy_die_while_the_entry_runs() {
+fn owner_and_backup_die_while_the_entry_runs() {
     // Both holders of the record die at once while entry 2 runs the request. No owner is left
     // that knows the key, but the entry does, and the new keeper asks all before it grants.
     let cluster = Cluster::new(4);
-    let _running = cluster.marked(2, &wanted(true));
+    let _running = cluster.marked(2, &request(true));
     cluster.stop(0);
     cluster.kill(1);
-    let repeat = cluster.claim(3, &wanted(true));
+    let repeat = cluster.claim(3, &request(true));
     assert!(matches!(repeat, Ok(Access::Running { entry }) if entry == member(2)));
 }
 
@@ -103,50 +103,50 @@
     // runs. When 2 thaws it still holds its claim and wants to dispatch. Its mark carries the
     // old claim number and fails, and the stale record that it pushes changes nothing.
     let cluster = Cluster::new(3);
-    let frozen = cluster.granted(2, &wanted(true));
+    let frozen = cluster.granted(2, &request(true));
     cluster.kill(2);
-    let _running = cluster.marked(1, &wanted(true));
+    let _running = cluster.marked(1, &request(true));
     cluster.thaw(2);
     let mark = cluster.run(frozen.mark_dispatching());
-    assert_eq!(mark.err(), RAN);
+    assert_eq!(mark.err(), ALREADY_RUN);
     cluster.rejoin(&[0, 1, 2]);
     cluster.settle();
-    let record = cluster.daemons[0].keeper.record(&key()).unwrap();
+    let record = cluster.daemons[0].owner.record(&key()).unwrap();
     assert_eq!(record.holder.entry, member(1));
 }
 
 #[test]
-fn frozen_keeper_thaws_after_a_takeover() {
+fn frozen_owner_thaws_after_a_takeover() {
     // Keeper 0 freezes and 1 takes over, grants and marks for entry 2. Thawed, 0 still thinks
     // that it keeps the key, which it never heard of, and gets a claim for its own caller. The
     // copy at 1 sees another keeper and does not acknowledge, so 0 can't grant.
     let cluster = Cluster::new(3);
     cluster.kill(0);
-    let _running = cluster.marked(2, &wanted(true));
+    let _running = cluster.marked(2, &request(true));
     cluster.thaw(0);
     assert_eq!(
-        refused(cluster.claim(0, &wanted(true))),
+        refused(cluster.claim(0, &request(true))),
         Some(Error::Unsettled)
     );
 }
 
 #[test]
-fn daemon_that_sees_nobody_waits() {
+fn isolated_daemon_waits_before_it_grants() {
     // A frozen daemon thaws, finds its timers expired and thinks all others dead. Alone it
     // needs no copy; granting at once would run what the others run. It has to wait first, and
     // by then the heartbeats have arrived and the view is back.
     let cluster = Cluster::new(3);
-    let _running = cluster.marked(1, &wanted(true));
+    let _running = cluster.marked(1, &request(true));
     cluster.daemons[2]
         .view
         .live
         .borrow_mut()
         .retain(|other| *other == member(2));
     let daemon = &cluster.daemons[2];
-    let wanted = wanted(true);
+    let request = request(true);
     let both = future::join(
-        daemon.keeper.members_changed(),
-        daemon.claims.claim(&wanted),
+        daemon.owner.handle_membership_change(),
+        daemon.claims.claim(&request),
     );
     let (_, claim) = cluster.run(both);
     assert_eq!(refused(claim), Some(Error::Unsettled));
@@ -160,15 +160,15 @@
     let cluster = Cluster::new(3);
     cluster.kill(0);
     cluster.thaw(0);
-    let keeper = &cluster.daemons[0].keeper;
-    let settling = std::pin::pin!(keeper.members_changed());
+    let owner = &cluster.daemons[0].owner;
+    let settling = std::pin::pin!(owner.handle_membership_change());
     let soon = cluster.clock.sleep(Duration::from_secs(5));
     cluster.run(future::select(settling, std::pin::pin!(soon)));
-    assert!(!keeper.is_settled());
-    let _running = cluster.marked(1, &wanted(true));
+    assert!(!owner.is_settled());
+    let _running = cluster.marked(1, &request(true));
     cluster.rejoin(&[0, 1, 2]);
     cluster.settle();
-    let repeat = cluster.claim(0, &wanted(true));
+    let repeat = cluster.claim(0, &request(true));
     assert!(matches!(repeat, Ok(Access::Running { .. })));
 }
 
@@ -177,10 +177,10 @@
     // The caller's client times out and sends again while the first request is on its way, so
     // two daemons claim at the same moment. One gets the claim, the other is sent to it.
     let cluster = Cluster::new(3);
-    let wanted = wanted(true);
+    let request = request(true);
     let (first, second) = (
-        cluster.daemons[1].claims.claim(&wanted),
-        cluster.daemons[2].claims.claim(&wanted),
+        cluster.daemons[1].claims.claim(&request),
+        cluster.daemons[2].claims.claim(&request),
     );
     let (first, second) = cluster.run(future::join(first, second));
     assert!(matches!(first, Ok(Access::Granted(_))));
@@ -188,16 +188,16 @@
 }
 
 #[test]
-fn claim_without_its_copy_is_not_acknowledged() {
+fn claim_without_its_backup_is_not_acknowledged() {
     // The wire between keeper and copy is cut. Were the claim granted, the keeper's death would
     // forget it. The caller is refused as not run, and once the wire is back its retry runs.
     let cluster = Cluster::new(3);
     cluster.lose(Loss::Copies);
-    let refusal = refused(cluster.claim(2, &wanted(true))).unwrap();
+    let refusal = refused(cluster.claim(2, &request(true))).unwrap();
     assert_eq!((refusal, refusal.ran()), (Error::Unsettled, Ran::No));
     cluster.lose(Loss::Nothing);
     cluster.run(cluster.daemons[2].claims.sweep());
-    let _running = cluster.marked(1, &wanted(true));
+    let _running = cluster.marked(1, &request(true));
 }
 
 #[test]
@@ -205,88 +205,83 @@
     // The keeper marks, but no reply reaches the entry, which therefore must not dispatch and
     // refuses as not run. Its release, sent later, frees the key, and the repeat runs.
     let cluster = Cluster::new(3);
-    let claim = cluster.granted(2, &wanted(true));
+    let claim = cluster.granted(2, &request(true));
     cluster.lose(Loss::Replies);
     let refusal = cluster.run(claim.mark_dispatching()).err().unwrap();
     assert_eq!((refusal, refusal.ran()), (Error::Unsettled, Ran::No));
     cluster.lose(Loss::Nothing);
     cluster.run(cluster.daemons[2].claims.sweep());
-    let _running = cluster.marked(1, &wanted(true));
+    let _running = cluster.marked(1, &request(true));
 }
 
 #[test]
 fn ended_request_is_held_then_forgotten_by_its_entry_only() {
     let cluster = Cluster::new(3);
-    let running = cluster.marked(2, &wanted(true));
+    let running = cluster.marked(2, &request(true));
     cluster.run(running.end(HELD));
-    let repeat = cluster.claim(1, &wanted(true));
+    let repeat = cluster.claim(1, &request(true));
     assert!(matches!(repeat, Ok(Access::Held { entry }) if entry == member(2)));
     cluster.clock.advance(Duration::from_secs(120));
-    assert_eq!(refused(cluster.claim(1, &wanted(true))), RAN);
+    assert_eq!(refused(cluster.claim(1, &request(true))), ALREADY_RUN);
 }
 
 #[test]
-fn running_request_outlives_every_time_to_live() {
+fn record_of_a_running_request_never_expires() {
     // An answer streams for longer than any record is kept. Were its record dropped, a repeat
     // would run the request beside itself.
     let cluster = Cluster::new(3);
-    let running = cluster.marked(2, &wanted(true));
-    later(&cluster, Duration::from_secs(100_000));
-    let repeat = cluster.claim(1, &wanted(true));
+    let running = cluster.marked(2, &request(true));
+    advance_and_expire(&cluster, Duration::from_secs(100_000));
+    let repeat = cluster.claim(1, &request(true));
     assert!(matches!(repeat, Ok(Access::Running { .. })));
     cluster.run(running.end(HELD));
-    later(&cluster, Duration::from_secs(601));
-    assert!(
-        cluster
-            .daemons
-            .iter()
-            .all(|daemon| daemon.keeper.is_empty())
-    );
+    advance_and_expire(&cluster, Duration::from_secs(601));
+    assert!(cluster.daemons.iter().all(|daemon| daemon.owner.is_empty()));
 }
 
 #[test]
-fn claim_that_waits_beyond_its_time_can_not_be_marked() {
+fn expired_claim_can_not_be_marked() {
     // A claim waits in a queue until its record is dropped and a repeat elsewhere runs. The
     // first can't be marked any more, so its entry dispatches nothing.
     let cluster = Cluster::new(3);
-    let waiting = cluster.granted(2, &wanted(true));
-    later(&cluster, Duration::from_secs(601));
-    let _running = cluster.marked(1, &wanted(true));
-    assert_eq!(cluster.run(waiting.mark_dispatching()).err(), RAN);
+    let waiting = cluster.granted(2, &request(true));
+    advance_and_expire(&cluster, Duration::from_secs(601));
+    let _running = cluster.marked(1, &request(true));
+    assert_eq!(cluster.run(waiting.mark_dispatching()).err(), ALREADY_RUN);
 }
 
 /// Lets time pass in which the upkeep runs.
-fn later(cluster: &Cluster, duration: Duration) {
+fn advance_and_expire(cluster: &Cluster, duration: Duration) {
     cluster.clock.advance(duration);
     cluster.settle();
     cluster
         .daemons
         .iter()
-        .for_each(|daemon| daemon.keeper.expire());
+        .for_each(|daemon| daemon.owner.expire());
 }
 
 #[test]
-fn copy_without_room_keeps_the_claim_from_being_granted() {
+fn full_backup_prevents_the_grant() {
     // The table of the copy is full of records of others. Without a copy the keeper's death
     // would forget the claim, so it is refused as not run, and its place is freed.
     let cluster = Cluster::with_limits(
         3,
         Limits {
-            records: 4,
+            record_limit: 4,
             ..Limits::default()
         },
     );
     for index in 0..4 {
-        let moved = Moved {
+        let moved = MovedRecord {
             age_ms: 0,
             id: KeyId::new("other", &index.to_string()),
             record: running_record(),
         };
-        let pushed = cluster.ask(1, KeyRequest::Push { moved: vec![moved] });
+        let pushed = cluster.call_owner(1, KeyRequest::Push { moved: vec![moved] });
         assert_eq!(pushed, KeyReply::Done);
     }
-    assert_eq!(refused(cluster.claim(2, &wanted(true))), Some(Error::Full));
-    let record = cluster.daemons[0].keeper.record(&key()).unwrap();
+    assert_eq!(refused(cluster.claim(2, &request(true))), Some(Error::Full));
+    let record = cluster.daemons[0].owner.record(&key()).unwrap();
     assert_eq!(record.stage, Stage::Free);
 }
 
@@ -298,20 +293,20 @@
     cluster.stop(0);
     cluster.kill(1);
     for index in 0..1_500 {
-        let moved = Moved {
+        let moved = MovedRecord {
             age_ms: 0,
             id: KeyId::new("other", &index.to_string()),
             record: running_record(),
         };
-        cluster.ask(2, KeyRequest::Push { moved: vec![moved] });
+        cluster.call_owner(2, KeyRequest::Push { moved: vec![moved] });
     }
     cluster.thaw(0);
     cluster.thaw(1);
     cluster.rejoin(&[0, 1, 2]);
-    cluster.run(cluster.daemons[0].keeper.members_changed());
-    assert_eq!(cluster.daemons[0].keeper.len(), 1_500);
-    cluster.run(cluster.daemons[2].keeper.members_changed());
-    assert_eq!(cluster.daemons[1].keeper.len(), 1_500);
+    cluster.run(cluster.daemons[0].owner.handle_membership_change());
+    assert_eq!(cluster.daemons[0].owner.len(), 1_500);
+    cluster.run(cluster.daemons[2].owner.handle_membership_change());
+    assert_eq!(cluster.daemons[1].owner.len(), 1_500);
 }
 
 fn running_record() -> Record {
@@ -336,44 +331,44 @@
 #[test]
 fn key_for_another_body_is_refused() {
     let cluster = Cluster::new(3);
-    let _running = cluster.marked(2, &wanted(true));
-    let mut other = wanted(true);
+    let _running = cluster.marked(2, &request(true));
+    let mut other = request(true);
     other.body = BodyDigest::new(b"other");
     assert_eq!(refused(cluster.claim(1, &other)), Some(Error::KeyReused));
 }
 
 #[test]
-fn past_the_bound_new_keys_are_refused_and_known_ones_kept() {
+fn full_table_refuses_new_keys_and_keeps_known_ones() {
     let limits = Limits {
-        records: 2,
+        record_limit: 2,
         ..Limits::default()
     };
     let cluster = Cluster::with_limits(3, limits);
-    let _running = cluster.marked(2, &wanted(true));
-    let mut other = wanted(true);
+    let _running = cluster.marked(2, &request(true));
+    let mut other = request(true);
     other.key = "another".to_owned();
     let refusal = refused(cluster.claim(2, &other)).unwrap();
     assert_eq!((refusal, refusal.ran()), (Error::Full, Ran::No));
-    let repeat = cluster.claim(1, &wanted(true));
+    let repeat = cluster.claim(1, &request(true));
     assert!(matches!(repeat, Ok(Access::Running { .. })));
 }
 
 #[test]
-fn delayed_claim_after_its_release_is_void() {
+fn delayed_claim_after_its_release_is_rejected() {
     // A claim is delayed on the wire; its entry gives up, is refused and releases. Were the
     // late claim granted, repeats would be sent to an entry that runs nothing.
     let cluster = Cluster::new(3);
-    let claim = cluster.granted(2, &wanted(true));
+    let claim = cluster.granted(2, &request(true));
     let late = KeyRequest::Claim {
         attempt: claim.holder().attempt,
-        body: wanted(true).body,
+        body: request(true).body,
         entry: member(2),
         id: key(),
         idempotent: true,
     };
     cluster.run(claim.release());
-    assert_eq!(cluster.ask(0, late), KeyReply::Superseded);
-    let record = cluster.daemons[0].keeper.record(&key()).unwrap();
+    assert_eq!(cluster.call_owner(0, late), KeyReply::Superseded);
+    let record = cluster.daemons[0].owner.record(&key()).unwrap();
     assert_eq!(record.stage, Stage::Free);
 }
 
@@ -386,7 +381,7 @@
             $dropped;
             $cluster.lose(Loss::Nothing);
             $cluster.run($cluster.daemons[2].claims.sweep());
-            let repeat = $cluster.claim(1, &wanted(true));
+            let repeat = $cluster.claim(1, &request(true));
             assert!(matches!(repeat, $expected));
         }
     };
@@ -397,12 +392,12 @@
 // was dropped while the reply was on its way is released as well.
 repeat_after_drop!(
     drop_of_a_claim,
-    |c| drop(c.granted(2, &wanted(true))),
+    |c| drop(c.granted(2, &request(true))),
     Ok(Access::Granted(_))
 );
 repeat_after_drop!(
     drop_after_the_mark,
-    |c| drop(c.marked(2, &wanted(true))),
+    |c| drop(c.marked(2, &request(true))),
     Err(Error::AlreadyRun { .. })
 );
 repeat_after_drop!(
@@ -413,8 +408,8 @@
 
 fn drop_while_claiming(cluster: &Cluster) {
     cluster.lose(Loss::Replies);
-    let wanted = wanted(true);
-    let claim = std::pin::pin!(cluster.daemons[2].claims.claim(&wanted));
+    let request = request(true);
+    let claim = std::pin::pin!(cluster.daemons[2].claims.claim(&request));
     let soon = cluster.clock.sleep(Duration::from_millis(100));
     cluster.run(future::select(claim, std::pin::pin!(soon)));
 }
--- a/crates/lilaccrank/tests/suite/request_key/model.rs
+++ b/crates/lilaccrank/tests/suite/request_key/model.rs
@@ -1,13 +1,13 @@
 //! Model check of claim, dispatch and takeover; `--no-capture` prints the counts.
 
 use crate::request_key::search;
-use crate::request_key::spec::{Broken, Keys};
+use crate::request_key::spec::{KeySpec, Mutation};
 use crate::request_key::spec_state::SIZE;
 
-fn keys(attempts: [u64; SIZE], faults: u8, idempotent: bool, broken: Broken) -> Keys {
-    Keys {
+fn key_spec(attempts: [u64; SIZE], faults: u8, idempotent: bool, mutation: Mutation) -> KeySpec {
+    KeySpec {
         attempts,
-        broken,
+        mutation,
         faults,
         idempotent,
     }
@@ -18,7 +18,12 @@
     ($name:ident, $attempts:expr, faults $faults:literal, idempotent $idempotent:literal) => {
         #[test]
         fn $name() {
-            let search = search::search(&keys($attempts, $faults, $idempotent, Broken::Nothing));
+            let search = search::search(&key_spec(
+                $attempts,
+                $faults,
+                $idempotent,
+                Mutation::Nothing,
+            ));
             println!("{}: {} states", stringify!($name), search.states.len());
             if let Some(violation) = search.violation {
                 for (action, _) in search.path(search.violating) {
@@ -35,24 +40,29 @@
 holds!(non_idempotent_two_faults, [0, 1, 1], faults 2, idempotent false);
 
 /// Without one safeguard the search finds a violation: the check can fail.
-macro_rules! caught {
-    ($name:ident, $broken:ident, $attempts:expr, faults $faults:literal, $idempotent:literal, $violation:expr) => {
+macro_rules! violates {
+    ($name:ident, $mutation:ident, $attempts:expr, faults $faults:literal, $idempotent:literal, $violation:expr) => {
         #[test]
         fn $name() {
-            let search = search::search(&keys($attempts, $faults, $idempotent, Broken::$broken));
+            let search = search::search(&key_spec(
+                $attempts,
+                $faults,
+                $idempotent,
+                Mutation::$mutation,
+            ));
             println!("{}: {} states", stringify!($name), search.states.len());
             assert_eq!(search.violation, Some($violation));
         }
     };
 }
 
-const NOT_TRUE: &str = "refused as not run though it ran";
-const TWICE: &str = "dispatched twice";
+const FALSE_REFUSAL: &str = "refused as not run though it ran";
+const DOUBLE_DISPATCH: &str = "dispatched twice";
 
-caught!(mark_after_dispatch, MarkAfterDispatch, [0, 1, 2], faults 1, true, NOT_TRUE);
-caught!(no_claim_number, NoClaimNumber, [0, 1, 1], faults 1, true, TWICE);
-caught!(no_copy, NoCopy, [0, 1, 1], faults 2, true, TWICE);
-caught!(no_grant_number, NoGrantNumber, [1, 1, 2], faults 1, true, TWICE);
-caught!(no_pause_check, NoPauseCheck, [0, 1, 1], faults 2, true, TWICE);
-caught!(no_settling, NoSettling, [0, 1, 1], faults 2, true, TWICE);
-caught!(no_store_claim, NoStoreClaim, [0, 1, 1], faults 2, false, TWICE);
+violates!(mark_after_dispatch, MarkAfterDispatch, [0, 1, 2], faults 1, true, FALSE_REFUSAL);
+violates!(no_claim_number, NoClaimNumber, [0, 1, 1], faults 1, true, DOUBLE_DISPATCH);
+violates!(no_copy, NoCopy, [0, 1, 1], faults 2, true, DOUBLE_DISPATCH);
+violates!(no_grant_number, NoGrantNumber, [1, 1, 2], faults 1, true, DOUBLE_DISPATCH);
+violates!(no_pause_check, NoPauseCheck, [0, 1, 1], faults 2, true, DOUBLE_DISPATCH);
+violates!(no_settling, NoSettling, [0, 1, 1], faults 2, true, DOUBLE_DISPATCH);
+violates!(no_store_claim, NoStoreClaim, [0, 1, 1], faults 2, false, DOUBLE_DISPATCH);
--- a/crates/lilaccrank/tests/suite/request_key/replay.rs
+++ b/crates/lilaccrank/tests/suite/request_key/replay.rs
@@ -7,9 +7,9 @@
     Access, ClaimNumber, Error, KeyId, Limits, Outcome, Record, Result, Stage,
 };
 
-use crate::request_key::cluster::{Cluster, Loss, TestAccess, TestClaim, TestMarked, wanted};
+use crate::request_key::cluster::{Cluster, Loss, TestAccess, TestClaim, TestMarked, request};
 use crate::request_key::search;
-use crate::request_key::spec::{Action, Broken, Keys, Lost};
+use crate::request_key::spec::{Action, KeySpec, Lost, Mutation};
 use crate::request_key::spec_state::{self, Number, Phase, Rec, SIZE, State};
 
 /// One path in this many is replayed.
@@ -40,14 +40,14 @@
     fn step(&mut self, action: Action, next: &State) {
         match action {
             Action::Claim(index, lost) => {
-                let access = self.under(lost, |cluster| cluster.claim(index, &wanted(true)));
+                let access = self.with_loss(lost, |cluster| cluster.claim(index, &request(true)));
                 self.entries[index] = claimed(access);
             }
             Action::Mark(index, lost) => {
                 let Entry::Claimed(claim) = self.take(index) else {
                     panic!("nothing to mark");
                 };
-                let marked = self.under(lost, |cluster| cluster.run(claim.mark_dispatching()));
+                let marked = self.with_loss(lost, |cluster| cluster.run(claim.mark_dispatching()));
                 self.entries[index] = match marked {
                     Ok(claim) => Entry::Marked(claim),
                     Err(Error::AlreadyRun { .. }) => Entry::Idle,
@@ -66,7 +66,7 @@
                     panic!("nothing to end");
                 };
                 let held = Outcome::Held { until_ms: u64::MAX };
-                self.under(lost, |cluster| cluster.run(claim.end(held)));
+                self.with_loss(lost, |cluster| cluster.run(claim.end(held)));
             }
             Action::Release(index) => {
                 let claims = &self.cluster.daemons[index].claims;
@@ -80,14 +80,14 @@
             }
             Action::Rejoin(_) => {}
             Action::Settle(index) => {
-                let keeper = &self.cluster.daemons[index].keeper;
-                self.cluster.run(keeper.members_changed());
+                let owner = &self.cluster.daemons[index].owner;
+                self.cluster.run(owner.handle_membership_change());
             }
         }
         for index in 0..SIZE {
             let view = next.view(index);
             self.cluster
-                .see(index, (0..SIZE).filter(|member| view[*member]));
+                .set_view(index, (0..SIZE).filter(|member| view[*member]));
         }
     }
 
@@ -95,7 +95,7 @@
         std::mem::replace(&mut self.entries[index], Entry::Idle)
     }
 
-    fn under<T>(&self, lost: Lost, call: impl FnOnce(&Cluster) -> T) -> T {
+    fn with_loss<T>(&self, lost: Lost, call: impl FnOnce(&Cluster) -> T) -> T {
         self.cluster.lose(match lost {
             Lost::Copy => Loss::Copies,
             Lost::Nothing => Loss::Nothing,
@@ -122,9 +122,9 @@
                     | (Entry::Running(_), spec_state::Entry::Running(_))
             );
             assert!(same, "entry {index} after {actions:?}");
-            let record = self.cluster.daemons[index].keeper.record(&id);
+            let record = self.cluster.daemons[index].owner.record(&id);
             assert_eq!(
-                record.map(abstracted),
+                record.map(to_spec_record),
                 daemon.rec,
                 "record at {index} after {actions:?}"
             );
@@ -141,7 +141,7 @@
 }
 
 /// The specification's view of a record.
-fn abstracted(record: Record) -> Rec {
+fn to_spec_record(record: Record) -> Rec {
     let number = |claim: ClaimNumber| Number(claim.number, claim.grant);
     let holder = record.holder;
     Rec {
@@ -160,9 +160,9 @@
 
 #[test]
 fn code_follows_the_paths_of_the_specification() {
-    let keys = Keys {
+    let keys = KeySpec {
         attempts: [1, 1, 2],
-        broken: Broken::Nothing,
+        mutation: Mutation::Nothing,
         faults: 1,
         idempotent: true,
     };
--- a/crates/lilaccrank/tests/suite/request_key/spec.rs
+++ b/crates/lilaccrank/tests/suite/request_key/spec.rs
@@ -38,7 +38,7 @@
 
 /// A safeguard left out.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Broken {
+pub enum Mutation {
     MarkAfterDispatch,
     NoClaimNumber,
     NoCopy,
@@ -50,9 +50,9 @@
 }
 
 /// The specification within bounds.
-pub struct Keys {
+pub struct KeySpec {
     pub attempts: [u64; SIZE],
-    pub broken: Broken,
+    pub mutation: Mutation,
     pub faults: u8,
     pub idempotent: bool,
 }
@@ -64,59 +64,59 @@
     Unsettled,
 }
 
-impl Keys {
+impl KeySpec {
     /// The keeper that `entry` asks, if it is the keeper in its own eyes too.
-    fn keeper(&self, state: &State, entry: usize) -> Option<usize> {
-        let keeper = ranked(state.view(entry)).next()?;
-        let agrees = ranked(state.view(keeper)).next() == Some(keeper);
-        (state.daemons[keeper].is_running() && agrees).then_some(keeper)
+    fn owner(&self, state: &State, entry: usize) -> Option<usize> {
+        let owner = ranked(state.view(entry)).next()?;
+        let agrees = ranked(state.view(owner)).next() == Some(owner);
+        (state.daemons[owner].is_running() && agrees).then_some(owner)
     }
 
     /// Brings the keeper's record to its copy; whether the change counts.
-    fn replicate(&self, state: &mut State, keeper: usize, lost: Lost) -> bool {
-        let Some(second) = ranked(state.view(keeper)).nth(1) else {
+    fn replicate(&self, state: &mut State, owner: usize, lost: Lost) -> bool {
+        let Some(backup) = ranked(state.view(owner)).nth(1) else {
             return true;
         };
-        if self.broken == Broken::NoCopy {
+        if self.mutation == Mutation::NoCopy {
             return true;
         }
-        let backs = ranked(state.view(second)).next() == Some(keeper);
-        if lost == Lost::Copy || !state.daemons[second].is_running() || !backs {
+        let accepts = ranked(state.view(backup)).next() == Some(owner);
+        if lost == Lost::Copy || !state.daemons[backup].is_running() || !accepts {
             return false;
         }
-        let rec = state.daemons[keeper].rec.unwrap();
-        match state.daemons[second].rec {
-            Some(known) if !rec.beats(&known) => {
-                state.daemons[keeper].absorb(known);
+        let rec = state.daemons[owner].rec.unwrap();
+        match state.daemons[backup].rec {
+            Some(known) if !rec.supersedes(&known) => {
+                state.daemons[owner].absorb(known);
                 false
             }
             _ => {
-                state.daemons[second].rec = Some(rec);
+                state.daemons[backup].rec = Some(rec);
                 true
             }
         }
     }
 
-    fn may_grant(&self, state: &State, keeper: usize) -> bool {
-        self.broken == Broken::NoSettling || state.is_settled(keeper)
+    fn may_grant(&self, state: &State, owner: usize) -> bool {
+        self.mutation == Mutation::NoSettling || state.is_settled(owner)
     }
 
-    fn claim(&self, state: &mut State, entry: usize, keeper: usize, lost: Lost) -> Reply {
+    fn claim(&self, state: &mut State, entry: usize, owner: usize, lost: Lost) -> Reply {
         let attempt = state.daemons[entry].attempts;
-        let known = state.daemons[keeper].rec;
+        let known = state.daemons[owner].rec;
         if let Some(rec) = known {
-            let live = state.view(keeper)[rec.entry];
+            let live = state.view(owner)[rec.entry];
             if rec.stage.may_have_run() || (rec.stage == Stage::Claimed && live) {
                 return Reply::InProgressOrRun;
             }
         }
-        if !self.may_grant(state, keeper) {
+        if !self.may_grant(state, owner) {
             return Reply::Unsettled;
         }
-        state.daemons[keeper].grants += 1;
-        let name = format!("d{keeper}/1");
-        let grant = xxh3::xxh3_64_with_seed(name.as_bytes(), state.daemons[keeper].grants);
-        let grant = if self.broken == Broken::NoGrantNumber {
+        state.daemons[owner].grant_count += 1;
+        let name = format!("d{owner}/1");
+        let grant = xxh3::xxh3_64_with_seed(name.as_bytes(), state.daemons[owner].grant_count);
+        let grant = if self.mutation == Mutation::NoGrantNumber {
             0
         } else {
             grant
@@ -129,22 +129,22 @@
             released: known.and_then(|rec| rec.released),
             stage: Stage::Claimed,
         };
-        state.daemons[keeper].rec = Some(rec);
-        if self.replicate(state, keeper, lost) {
+        state.daemons[owner].rec = Some(rec);
+        if self.replicate(state, owner, lost) {
             Reply::Granted(rec)
         } else {
             Reply::Unsettled
         }
     }
 
-    fn mark(&self, state: &mut State, held: Rec, keeper: usize, lost: Lost) -> Reply {
-        if !self.may_grant(state, keeper) {
+    fn mark(&self, state: &mut State, held: Rec, owner: usize, lost: Lost) -> Reply {
+        if !self.may_grant(state, owner) {
             return Reply::Unsettled;
         }
-        let Some(mut rec) = state.daemons[keeper].rec else {
+        let Some(mut rec) = state.daemons[owner].rec else {
             return Reply::Superseded;
         };
-        let unnumbered = self.broken == Broken::NoClaimNumber && rec.stage != Stage::Ended;
+        let unnumbered = self.mutation == Mutation::NoClaimNumber && rec.stage != Stage::Ended;
         if unnumbered {
             rec = Rec {
                 stage: Stage::Claimed,
@@ -156,8 +156,8 @@
             return Reply::Superseded;
         }
         rec.stage = Stage::Marked;
-        state.daemons[keeper].rec = Some(rec);
-        if self.replicate(state, keeper, lost) || unnumbered {
+        state.daemons[owner].rec = Some(rec);
+        if self.replicate(state, owner, lost) || unnumbered {
             Reply::Granted(rec)
         } else {
             Reply::Unsettled
@@ -165,19 +165,19 @@
     }
 
     fn release(&self, state: &mut State, entry: usize, attempt: u64, lost: Lost) -> bool {
-        let Some(keeper) = self.keeper(state, entry) else {
+        let Some(owner) = self.owner(state, entry) else {
             return false;
         };
-        let heard = lost != Lost::Reply || keeper == entry;
-        let Some(rec) = &mut state.daemons[keeper].rec else {
-            return heard;
+        let acknowledged = lost != Lost::Reply || owner == entry;
+        let Some(rec) = &mut state.daemons[owner].rec else {
+            return acknowledged;
         };
         if (rec.entry, rec.attempt) != (entry, attempt) || rec.stage == Stage::Ended {
-            return heard;
+            return acknowledged;
         }
         rec.released = Some(rec.number);
         rec.stage = Stage::Free;
-        self.replicate(state, keeper, lost) && heard
+        self.replicate(state, owner, lost) && acknowledged
     }
 
     /// The entry gives up a claim, says "not run" and frees the key as far as it can.
@@ -188,13 +188,17 @@
             ..rec
         };
         state.daemons[entry].absorb(free);
-        let told = self.release(state, entry, rec.attempt, lost);
-        state.daemons[entry].entry = if told { Entry::Idle } else { Entry::Refused };
+        let is_released = self.release(state, entry, rec.attempt, lost);
+        state.daemons[entry].entry = if is_released {
+            Entry::Idle
+        } else {
+            Entry::Refused
+        };
     }
 
     fn dispatch(&self, state: &mut State, entry: usize, rec: Rec, fault: StoreFault) {
         let claim = (entry, rec.attempt, rec.number);
-        if !self.idempotent && self.broken != Broken::NoStoreClaim {
+        if !self.idempotent && self.mutation != Mutation::NoStoreClaim {
             let free = state
                 .store
                 .is_none_or(|(_, _, held)| rec.released == Some(held));
@@ -223,30 +227,32 @@
             return None;
         }
         if let Some(rec) = state.daemons[index].rec {
-            for owner in ranked(view).take(2).filter(|owner| *owner != index) {
-                state.daemons[owner].absorb(rec);
+            for replica in ranked(view).take(2).filter(|replica| *replica != index) {
+                state.daemons[replica].absorb(rec);
             }
         }
         for other in others {
             let seen = state.view(other);
-            let mut both = ranked(seen).filter(|member| view[*member]).take(2);
-            if let (true, Some(rec)) = (both.any(|owner| owner == index), state.daemons[other].rec)
-            {
+            let mut replicas = ranked(seen).filter(|member| view[*member]).take(2);
+            if let (true, Some(rec)) = (
+                replicas.any(|replica| replica == index),
+                state.daemons[other].rec,
+            ) {
                 state.daemons[index].absorb(rec);
             }
         }
-        state.daemons[index].settled = Some(view);
+        state.daemons[index].settled_view = Some(view);
         Some(())
     }
 
     fn apply(&self, mut state: State, action: Action) -> Option<State> {
         match action {
             Action::Claim(entry, lost) => {
-                let keeper = self.keeper(&state, entry)?;
+                let owner = self.owner(&state, entry)?;
                 state.daemons[entry].attempts += 1;
-                let reply = self.claim(&mut state, entry, keeper, lost);
+                let reply = self.claim(&mut state, entry, owner, lost);
                 state.daemons[entry].entry = match reply {
-                    _ if lost == Lost::Reply && keeper != entry => Entry::Refused,
+                    _ if lost == Lost::Reply && owner != entry => Entry::Refused,
                     Reply::Granted(rec) => {
                         state.daemons[entry].absorb(rec);
                         Entry::Claimed(rec)
@@ -256,23 +262,27 @@
                 };
             }
             Action::Mark(entry, lost) => {
-                let (rec, ran) = match state.daemons[entry].entry {
+                let (rec, has_dispatched) = match state.daemons[entry].entry {
                     Entry::Claimed(rec) => (rec, false),
                     Entry::Running(rec) => (rec, true),
                     _ => return None,
                 };
-                let keeper = self.keeper(&state, entry)?;
-                match self.mark(&mut state, rec, keeper, lost) {
-                    Reply::Granted(rec) if lost != Lost::Reply || keeper == entry => {
+                let owner = self.owner(&state, entry)?;
+                match self.mark(&mut state, rec, owner, lost) {
+                    Reply::Granted(rec) if lost != Lost::Reply || owner == entry => {
                         state.daemons[entry].absorb(rec);
-                        let next = if ran { Entry::Idle } else { Entry::Marked(rec) };
+                        let next = if has_dispatched {
+                            Entry::Idle
+                        } else {
+                            Entry::Marked(rec)
+                        };
                         state.daemons[entry].entry = next;
                     }
-                    Reply::Superseded if lost != Lost::Reply || keeper == entry => {
+                    Reply::Superseded if lost != Lost::Reply || owner == entry => {
                         state.daemons[entry].entry = Entry::Idle;
                     }
                     _ => {
-                        state.refused_though_run |= ran;
+                        state.refused_though_run |= has_dispatched;
                         self.refuse(&mut state, entry, rec, lost);
                     }
                 }
@@ -293,13 +303,13 @@
                 state.daemons[entry].absorb(ended);
                 state.daemons[entry].entry = Entry::Idle;
                 state.daemons[entry].attempts = self.attempts[entry];
-                if let Some(keeper) = self.keeper(&state, entry)
-                    && let Some(known) = state.daemons[keeper].rec
+                if let Some(owner) = self.owner(&state, entry)
+                    && let Some(known) = state.daemons[owner].rec
                     && known.same_claim(&rec)
                     && known.stage.may_have_run()
                 {
-                    state.daemons[keeper].rec = Some(ended);
-                    self.replicate(&mut state, keeper, lost);
+                    state.daemons[owner].rec = Some(ended);
+                    self.replicate(&mut state, owner, lost);
                 }
             }
             Action::Release(entry) => {
@@ -324,8 +334,8 @@
             Action::Thaw(index) => {
                 let view = state.view(index);
                 state.daemons[index].phase = Phase::Thawed(view);
-                if self.broken != Broken::NoPauseCheck {
-                    state.daemons[index].settled = None;
+                if self.mutation != Mutation::NoPauseCheck {
+                    state.daemons[index].settled_view = None;
                 }
             }
             Action::Rejoin(index) => {
@@ -356,7 +366,7 @@
             actions.push(Action::Settle(index));
         }
         let losses = [Lost::Nothing, Lost::Copy, Lost::Reply];
-        let early = self.broken == Broken::MarkAfterDispatch;
+        let early = self.mutation == Mutation::MarkAfterDispatch;
         match daemon.entry {
             Entry::Idle if daemon.attempts < self.attempts[index] => {
                 actions.extend(losses.map(|lost| Action::Claim(index, lost)));
@@ -385,7 +395,7 @@
     }
 }
 
-impl Spec for Keys {
+impl Spec for KeySpec {
     type Action = Action;
     type State = State;
 
@@ -394,10 +404,10 @@
         let daemon = Daemon {
             attempts: 0,
             entry: Entry::Idle,
-            grants: 0,
+            grant_count: 0,
             phase: Phase::Up,
             rec: None,
-            settled: Some(live),
+            settled_view: Some(live),
         };
         State {
             daemons: [daemon; SIZE],
--- a/crates/lilaccrank/tests/suite/request_key/spec_state.rs
+++ b/crates/lilaccrank/tests/suite/request_key/spec_state.rs
@@ -45,10 +45,10 @@
 pub struct Daemon {
     pub attempts: u64,
     pub entry: Entry,
-    pub grants: u64,
+    pub grant_count: u64,
     pub phase: Phase,
     pub rec: Option<Rec>,
-    pub settled: Option<View>,
+    pub settled_view: Option<View>,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -73,7 +73,7 @@
     }
 
     /// Whether this record wins over `old`.
-    pub fn beats(&self, old: &Self) -> bool {
+    pub fn supersedes(&self, old: &Self) -> bool {
         let order = |stage| match stage {
             Stage::Claimed => 0,
             Stage::Marked => 1,
@@ -92,7 +92,7 @@
 
 impl Daemon {
     pub fn absorb(&mut self, rec: Rec) {
-        if self.rec.is_none_or(|known| rec.beats(&known)) {
+        if self.rec.is_none_or(|known| rec.supersedes(&known)) {
             self.rec = Some(rec);
         }
     }
@@ -115,7 +115,7 @@
     }
 
     pub fn is_settled(&self, index: usize) -> bool {
-        self.daemons[index].settled == Some(self.view(index))
+        self.daemons[index].settled_view == Some(self.view(index))
     }
 
     pub fn all_settled(&self) -> bool {
--- a/crates/lilaccrank/tests/suite/request_key/store_failures.rs
+++ b/crates/lilaccrank/tests/suite/request_key/store_failures.rs
@@ -5,7 +5,7 @@
 use lilaccrank::error_kind::Ran;
 use lilaccrank::request_key::{Error, Outcome};
 
-use crate::request_key::cluster::{Cluster, Fault, wanted};
+use crate::request_key::cluster::{Cluster, Fault, request};
 
 /// The mark under a fault of the store; then, with the store back, a repeat elsewhere.
 macro_rules! mark_under {
@@ -13,12 +13,12 @@
         #[test]
         fn $name() {
             let cluster = Cluster::new(3);
-            let claim = cluster.granted(2, &wanted(false));
+            let claim = cluster.granted(2, &request(false));
             cluster.store.fault.set(Some(Fault::$fault));
             let mark = cluster.run(claim.mark_dispatching());
             assert_eq!(mark.err(), $expected);
             cluster.store.fault.set(None);
-            let repeat = cluster.claim(1, &wanted(false));
+            let repeat = cluster.claim(1, &request(false));
             assert_eq!(
                 matches!(repeat, Ok(super::cluster::TestAccess::Granted(_))),
                 $runs
@@ -35,15 +35,15 @@
 // and what its write left behind must not keep the repeat from running.
 mark_under!(create_whose_answer_is_lost, LostAnswer, None, repeat runs false);
 mark_under!(create_that_is_lost, LostWrite, None, repeat runs false);
-mark_under!(store_away, Away, Some(Error::StoreUnavailable), repeat runs true);
-mark_under!(store_away_after_the_create, EffectThenAway, Some(Error::StoreUnavailable), repeat runs true);
+mark_under!(store_unavailable, Away, Some(Error::StoreUnavailable), repeat runs true);
+mark_under!(store_unavailable_after_the_create, EffectThenAway, Some(Error::StoreUnavailable), repeat runs true);
 
 #[test]
-fn store_away_is_refused_at_once() {
+fn unavailable_store_is_refused_at_once() {
     // The store is away. The caller of a non-idempotent request must not wait for it: the
     // refusal comes without any time passing, and says truthfully that nothing was run.
     let cluster = Cluster::new(3);
-    let claim = cluster.granted(2, &wanted(false));
+    let claim = cluster.granted(2, &request(false));
     cluster.store.fault.set(Some(Fault::Away));
     let before = cluster.clock.elapsed();
     let refusal = cluster.run(claim.mark_dispatching()).err().unwrap();
@@ -52,34 +52,34 @@
 }
 
 #[test]
-fn repeats_while_the_store_is_away_then_back() {
+fn repeats_during_and_after_a_store_outage() {
     // The create takes effect, its answer is lost and the store goes away. The caller repeats
     // during the outage and is refused each time as not run. Once the store is back it finds
     // an object of its own first try there, which never ran: the repeat must run.
     let cluster = Cluster::new(3);
-    let claim = cluster.granted(2, &wanted(false));
+    let claim = cluster.granted(2, &request(false));
     cluster.store.fault.set(Some(Fault::EffectThenAway));
     let mut mark = cluster.run(claim.mark_dispatching());
     for _ in 0..3 {
         assert_eq!(mark.err(), Some(Error::StoreUnavailable));
-        let repeat = cluster.granted(1, &wanted(false));
+        let repeat = cluster.granted(1, &request(false));
         mark = cluster.run(repeat.mark_dispatching());
     }
     cluster.store.fault.set(None);
-    let repeat = cluster.granted(1, &wanted(false));
+    let repeat = cluster.granted(1, &request(false));
     assert!(cluster.run(repeat.mark_dispatching()).is_ok());
 }
 
 #[test]
-fn two_deaths_and_the_entry_too() {
+fn owner_backup_and_entry_die() {
     // Keeper, copy and entry of a running non-idempotent request all die. No daemon knows the
     // key any more and the last one grants the repeat; the object in the store stops its mark.
     let cluster = Cluster::new(4);
-    let _running = cluster.marked(2, &wanted(false));
+    let _running = cluster.marked(2, &request(false));
     cluster.stop(0);
     cluster.stop(1);
     cluster.kill(2);
-    let repeat = cluster.granted(3, &wanted(false));
+    let repeat = cluster.granted(3, &request(false));
     let mark = cluster.run(repeat.mark_dispatching());
     assert_eq!(mark.err(), Some(Error::AlreadyRun { failed: None }));
 }
@@ -90,18 +90,18 @@
     // the claim of the first there, and must not delete it when their own record has had its
     // time: it is not theirs, and may have been renewed.
     let here = Cluster::new(3);
-    let _running = here.marked(2, &wanted(false));
+    let _running = here.marked(2, &request(false));
     let there = Cluster::new(2);
     let objects = here.store.objects.borrow().clone();
     *there.store.objects.borrow_mut() = objects;
-    let repeat = there.granted(1, &wanted(false));
+    let repeat = there.granted(1, &request(false));
     let mark = there.run(repeat.mark_dispatching());
     assert_eq!(mark.err(), Some(Error::AlreadyRun { failed: None }));
     there.clock.advance(Duration::from_secs(25 * 3_600));
     for daemon in &there.daemons {
-        daemon.keeper.expire();
+        daemon.owner.expire();
         there.run(daemon.claims.sweep());
-        assert!(daemon.keeper.is_empty());
+        assert!(daemon.owner.is_empty());
     }
     assert_eq!(there.store.objects.borrow().len(), 1);
 }
@@ -113,9 +113,9 @@
     let cluster = Cluster::new(3);
     let mut refused = 0;
     for index in 0..30 {
-        let mut wanted = wanted(false);
-        wanted.key = index.to_string();
-        let claim = cluster.granted(2, &wanted);
+        let mut request = request(false);
+        request.key = index.to_string();
+        let claim = cluster.granted(2, &request);
         if let Err(refusal) = cluster.run(claim.mark_dispatching()) {
             assert_eq!((refusal, refusal.ran()), (Error::RateLimited, Ran::No));
             refused += 1;
@@ -127,15 +127,15 @@
 #[test]
 fn object_is_deleted_after_the_retention_time() {
     let cluster = Cluster::new(3);
-    let running = cluster.marked(2, &wanted(false));
+    let running = cluster.marked(2, &request(false));
     cluster.run(running.end(Outcome::Held { until_ms: 0 }));
     cluster.run(cluster.daemons[0].claims.sweep());
     assert_eq!(cluster.store.objects.borrow().len(), 1);
     cluster.clock.advance(Duration::from_secs(25 * 3_600));
     for daemon in &cluster.daemons {
-        daemon.keeper.expire();
+        daemon.owner.expire();
         cluster.run(daemon.claims.sweep());
-        assert!(daemon.keeper.is_empty());
+        assert!(daemon.owner.is_empty());
     }
     assert!(cluster.store.objects.borrow().is_empty());
 }
--- a/crates/lilaccrankd/src/daemon.rs
+++ b/crates/lilaccrankd/src/daemon.rs
@@ -11,7 +11,7 @@
 use lilaccrank::guarded_store::{self, GuardedStore};
 use lilaccrank::ids::{Incarnation, RequestId};
 use lilaccrank::membership::{Member, Membership, State};
-use lilaccrank::request_key::{Budget, Claims, Keeper, Limits};
+use lilaccrank::request_key::{Budget, Claims, KeyOwner, Limits};
 use lilaccrank::rules::condition::Environment;
 use lilaccrank::target_life::TargetLife;
 use lilaccrank::timeline::{EventKind, Subject, Timeline};
@@ -79,7 +79,7 @@
     in_progress: Cell<usize>,
     incarnation: Incarnation,
     /// Records of the keys that this daemon keeps.
-    pub keeper: Keeper<MonoioClock, PeerNetwork, Duties>,
+    pub keeper: KeyOwner<MonoioClock, PeerNetwork, Duties>,
     keys_settled: Cell<bool>,
     /// Set at the first signal: the balancer is to send callers elsewhere.
     pub leaving: Cell<bool>,
@@ -159,7 +159,7 @@
         let platform = StoreClient::counted(cfg.platform.to_string(), traffic.store.clone());
         let guards = guarded_store::Settings::default();
         let store = GuardedStore::new(guards, platform.clone(), MonoioClock);
-        let keeper = Keeper::new(
+        let keeper = KeyOwner::new(
             MonoioClock,
             peers.clone(),
             duties.clone(),
--- a/crates/lilaccrankd/src/request/key_state.rs
+++ b/crates/lilaccrankd/src/request/key_state.rs
@@ -5,7 +5,7 @@
 use lilaccrank::error_kind::Ran;
 use lilaccrank::request_key;
 use lilaccrank::request_key::{
-    BodyDigest, Claim, Claimed, Claims, Error, Marked, MemberRef, Outcome, Wanted,
+    BodyDigest, Claim, ClaimRequest, Claimed, Claims, Error, Marked, MemberRef, Outcome,
 };
 use lilaccrank_http::monoio_clock::MonoioClock;
 
@@ -46,7 +46,7 @@
     let Some(key) = &caller.facts.key else {
         return Ok(ClaimOutcome::Proceed(KeyState::Keyless));
     };
-    let req = Wanted {
+    let req = ClaimRequest {
         body: digest(caller),
         customer: caller.facts.customer.clone(),
         idempotent: caller.facts.idempotent,
@@ -100,7 +100,7 @@
     /// The key could not be marked; the request may not be spilled.
     pub async fn mark_handed_on(self) -> Result<Self> {
         match self {
-            Self::Claimed(claim) => match claim.mark_handed_on().await {
+            Self::Claimed(claim) => match claim.mark_forwarded().await {
                 Ok(marked) => Ok(Self::Marked(marked)),
                 Err(e) => Err(refusal(&e)),
             },
