--- a/crates/lilaccrank/src/request_key.rs
+++ b/crates/lilaccrank/src/request_key.rs
@@ -1,24 +1,25 @@
-//! Request keys: whatever is repeated under one key is dispatched at most once.
+//! Request keys: requests that are repeated with the same key are dispatched at most once.
 //!
-//! The keeper of a key is the live member that ranks first for it; the second one holds a copy.
-//! An entry daemon claims the key, marks the claim just before it sends anything to a target,
-//! and ends it with the outcome. The mark is the serialization point: keeper and copy both
-//! compare the claim before either accepts it.
+//! The owner of a key is the live member that ranks first for it; the member that ranks second
+//! is its backup. The entry daemon of a request claims the key, marks the claim right before it
+//! sends the request to a target, and ends the claim with the outcome. The mark is the
+//! serialization point: owner and backup both check the claim before the mark is acknowledged.
 //!
-//! What holds, and up to where:
+//! Guarantees and their limits:
 //!
-//! - A record has three holders: keeper, copy and the entry itself. A marked key is known as
-//!   long as one of them lives until the members have settled again. If all are lost at once,
-//!   an idempotent request that is repeated runs again.
-//! - A non-idempotent request is claimed in the store besides, at its mark. That holds when all
-//!   holders are lost, and across data centres, for [`Limits::retention`].
-//! - Two groups of daemons of one data centre that call each other dead while both run would
-//!   each keep the key. Only the claim in the store holds across such a split.
-//! - An error of [`Claims`] with [`Ran::No`] speaks of the refused attempt. Repeating it under
-//!   the same key is always safe.
+//! - Three daemons hold a record: the owner, the backup and the entry. A marked key stays known
+//!   if one of them survives until the members have transferred their records after a membership
+//!   change. If all are lost at once, a repeat of an idempotent request runs again.
+//! - A non-idempotent request is also claimed in the store when it is marked. That claim survives
+//!   the loss of all three, and holds across data centres, for [`Limits::retention`].
+//! - In a network partition, two groups of daemons in one data centre may each consider the other
+//!   dead and own the key independently. Only the claim in the store holds across such a
+//!   partition.
+//! - An error of [`Claims`] with [`Ran::No`] refers to the refused attempt. Repeating the request
+//!   with the same key is always safe.
 //!
-//! To embed it: serve [`KeyOwner::handle`] to the other daemons, run [`KeyOwner::run`] and
-//! [`Claims::sweep_every`] as tasks, and take each request through [`Claims::claim`].
+//! To embed request keys, serve [`KeyOwner::handle`] to the other daemons, run [`KeyOwner::run`]
+//! and [`Claims::sweep_every`] as tasks, and claim the key of each request by [`Claims::claim`].
 //!
 //! [`Ran::No`]: crate::error_kind::Ran::No
 
--- a/crates/lilaccrank/src/request_key/budget.rs
+++ b/crates/lilaccrank/src/request_key/budget.rs
@@ -1,4 +1,4 @@
-//! A token bucket for calls to the store.
+//! Token bucket that limits the rate of calls to the store.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -6,7 +6,7 @@
 
 use crate::clock::Clock;
 
-/// Calls per second that may go to the store, with a burst; clones share one bucket.
+/// Rate limit of calls to the store, with a burst. Clones share one bucket.
 #[derive(Clone)]
 pub struct Budget<C> {
     burst: f64,
@@ -22,7 +22,7 @@
 }
 
 impl<C: Clock> Budget<C> {
-    /// A full bucket.
+    /// Creates a full bucket of `burst` tokens, which refills at `per_second`.
     #[must_use]
     pub fn new(clock: C, per_second: f64, burst: f64) -> Self {
         let state = State {
@@ -37,20 +37,20 @@
         }
     }
 
-    /// Takes a token if at least one is left.
+    /// Takes a token if one is available. Returns `true` if it did.
     #[must_use]
     pub fn try_take(&self) -> bool {
         self.try_take_reserving(0.0)
     }
 
-    /// Takes a token if half of the burst stays for others.
+    /// Takes a token if half of the burst remains for other calls. Returns `true` if it did.
     #[must_use]
     pub fn try_take_low_priority(&self) -> bool {
         self.try_take_reserving(self.burst / 2.0)
     }
 
-    /// Takes a token even if none is left: a claim that was begun has to be settled. The debt
-    /// holds new claims back until it is paid, so that the average keeps to the rate.
+    /// Takes a token even if none is available, as a claim that has begun must be completed. New
+    /// claims are refused until the negative balance is refilled, so that the average rate holds.
     pub fn force_take(&self) {
         let mut state = self.refilled();
         state.tokens -= 1.0;
--- a/crates/lilaccrank/src/request_key/claim.rs
+++ b/crates/lilaccrank/src/request_key/claim.rs
@@ -1,4 +1,4 @@
-//! The life cycle of one claim at its entry, by typestate.
+//! Lifecycle of a claim at its entry daemon, as a typestate.
 
 use std::marker::PhantomData;
 use std::time::Duration;
@@ -15,17 +15,19 @@
 use crate::request_key::store_claim;
 use crate::store::Store;
 
-/// Longest time for a claim in the store: a write without an answer, and reading it back.
+/// Timeout for a claim in the store, which may take an unanswered write and a read after it.
 const STORE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// State of a claim before its mark: nothing may be sent to a target.
+/// State of a claim before its mark. Nothing may be sent to a target.
 pub struct Claimed;
 
-/// State of a claim after its mark: the request may be sent to a target, once.
+/// State of a claim after its mark. The request may be sent to a target, once.
 pub struct Marked;
 
-/// A claim held by this daemon. One that is dropped before its mark is released; one that is
-/// dropped after it ends as cancelled, which may have run.
+/// A claim held by this daemon.
+///
+/// Dropping it before the mark releases the key. Dropping it after the mark ends the claim as
+/// cancelled, as the request may have run.
 #[must_use = "a claim that is dropped is given up"]
 pub struct Claim<Z, C, P, R, S>
 where
@@ -52,13 +54,14 @@
         }
     }
 
-    /// Marks the claim as dispatching, before anything is sent to a target. A non-idempotent
-    /// request is claimed in the store besides, which holds across the death of all record
-    /// holders and across data centres.
+    /// Marks the claim as dispatching, before anything is sent to a target.
+    ///
+    /// A non-idempotent request is also claimed in the store. That claim survives the loss of all
+    /// daemons that hold the record, and is visible to other data centres.
     ///
     /// # Errors
     ///
-    /// Nothing may be sent. The claim is released, unless another one has taken its place.
+    /// Nothing may be sent. The claim is released, unless another claim has replaced it.
     pub async fn mark_dispatching(self) -> Result<Claim<Marked, C, P, R, S>> {
         let idempotent = self.guard.record.idempotent;
         if !idempotent && !self.guard.claims.inner.budget.try_take() {
@@ -72,14 +75,17 @@
         marked.claim_in_store().await
     }
 
-    /// Marks the claim as handed on to a daemon of another data centre, which claims the key
-    /// itself. A claim of a non-idempotent request in the store would stand against that daemon's
-    /// own: it would refuse the request as run, though it had not. Without it the store still lets
-    /// one dispatch through, as no daemon sends to a target before its claim is there.
+    /// Marks the claim before its request is forwarded to a daemon of another data centre, which
+    /// claims the key itself.
+    ///
+    /// A non-idempotent request is not claimed in the store here. That claim would conflict with
+    /// the other daemon's own, which would refuse the request as already run. The store still
+    /// allows a single dispatch, as every daemon creates its claim there before it sends the
+    /// request to a target.
     ///
     /// # Errors
     ///
-    /// Nothing may be handed on. The claim is released, unless another one has taken its place.
+    /// Nothing may be forwarded. The claim is released, unless another claim has replaced it.
     pub async fn mark_forwarded(self) -> Result<Claim<Marked, C, P, R, S>> {
         self.mark().await
     }
@@ -111,7 +117,7 @@
     R: Ranking,
     S: Store,
 {
-    /// Ends the claim once the request has ended.
+    /// Ends the claim and reports `outcome` to the owner of the key.
     pub async fn end(mut self, outcome: Outcome) {
         self.guard.set_stage(Stage::Ended(outcome));
         self.guard.report().await;
@@ -121,8 +127,8 @@
         let inner = &self.guard.claims.inner;
         let (id, record) = (&self.guard.id, &self.guard.record);
         let mut create = store_claim::Create::new(id, &record.holder, record.stored);
-        // A store that answers too late would hold the caller through every retry of each call.
-        // A write that is given up here may still take effect, like one whose answer is lost.
+        // Without the timeout a slow store would delay the caller for every retry of each call. A
+        // write that is abandoned here may still take effect, like one whose reply is lost.
         let clock = &inner.owner.inner.clock;
         let creating = create.run(&inner.store, &inner.budget);
         let created = clock::timeout(clock, STORE_TIMEOUT, creating).await;
@@ -153,19 +159,19 @@
     R: Ranking,
     S: Store,
 {
-    /// Who holds the claim, with its number.
+    /// Entry, attempt and number of the claim.
     #[must_use]
     pub fn holder(&self) -> &Holder {
         &self.guard.record.holder
     }
 
-    /// The key.
+    /// The claimed key.
     #[must_use]
     pub fn id(&self) -> KeyId {
         self.guard.id
     }
 
-    /// Frees the key: nothing was sent to a target and nothing will be.
+    /// Releases the key. Nothing may have been sent to a target.
     pub async fn release(mut self) {
         self.guard.free();
         self.guard.report().await;
--- a/crates/lilaccrank/src/request_key/claims.rs
+++ b/crates/lilaccrank/src/request_key/claims.rs
@@ -1,4 +1,4 @@
-//! The side that claims: the entry daemon of a request.
+//! Claims request keys on behalf of the entry daemon of a request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -25,44 +25,44 @@
 /// Result of a claim or of its mark.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Longest wait between two tries to reach the keeper.
+/// Longest wait between two calls to the owner.
 const RETRY_LIMIT: Duration = Duration::from_millis(200);
-/// First wait between two tries to reach the keeper.
+/// First wait between two calls to the owner.
 const RETRY_FIRST: Duration = Duration::from_millis(10);
-/// Messages kept for a keeper that could not be reached; past it the oldest is dropped, and its
-/// record is answered as in progress until this daemon leaves.
+/// Maximum number of messages queued for unreachable owners. Beyond it the oldest is dropped,
+/// and its key is reported as in progress until this daemon leaves.
 const UNSENT_LIMIT: usize = 10_000;
-/// Objects deleted from the store by one sweep.
+/// Maximum number of objects that one sweep deletes from the store.
 const SWEEP_LIMIT: usize = 64;
 
-/// Why a key could not be claimed or marked. Nothing was sent to a target by this daemon.
+/// Error of a claim or of its mark. This daemon has sent nothing to a target.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// The key was dispatched before, or is now by another daemon.
+    /// A request with this key was dispatched before, or is being dispatched by another daemon.
     #[error("a request with this key was run before")]
     AlreadyRun {
-        /// How it failed, if that is known.
+        /// How the request failed, if known.
         failed: Option<ErrorKind>,
     },
-    /// The keeper has no room for another key.
+    /// The record table of the owner or of its backup is full.
     #[error("no room for another request key")]
     Full,
-    /// The key was used for another body.
+    /// The key was used before with a different body.
     #[error("the request key was used for another body")]
     KeyReused,
-    /// The budget of calls to the store is used up.
+    /// The rate limit of calls to the store is exceeded, or the store throttles them.
     #[error("too many non-idempotent requests")]
     RateLimited,
-    /// The store can't be asked.
+    /// The store is unavailable.
     #[error("the store can't be asked")]
     StoreUnavailable,
-    /// The keeper could not be asked, or does not know all records yet.
+    /// The owner or its backup could not be reached, or the owner hasn't fetched all records yet.
     #[error("the keeper of the request key can't tell yet")]
     Unsettled,
 }
 
 impl Error {
-    /// What the caller is told.
+    /// Kind of the error in the answer to the caller.
     #[must_use]
     pub fn kind(&self) -> ErrorKind {
         match self {
@@ -75,27 +75,27 @@
         }
     }
 
-    /// Whether a target may have been given the request.
+    /// Says if the request may have been sent to a target.
     #[must_use]
     pub fn ran(&self) -> Ran {
         self.kind().answer().ran
     }
 }
 
-/// A request that wants its key.
+/// Parameters of a claim.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
-    /// Digest of the body.
+    /// Digest of the request.
     pub body: BodyDigest,
-    /// Scope of the key.
+    /// Customer whose key it is; equal keys of different customers are unrelated.
     pub customer: CustomerId,
-    /// False if the request must not run more than once.
+    /// If `false`, the request must not run more than once.
     pub idempotent: bool,
-    /// The caller's key.
+    /// Key that the caller chose.
     pub key: RequestKey,
 }
 
-/// What a request may do with its key.
+/// Successful result of a claim.
 #[must_use]
 pub enum Access<C, P, R, S>
 where
@@ -104,21 +104,21 @@
     R: Ranking,
     S: Store,
 {
-    /// This daemon holds the claim.
+    /// This daemon holds the claim and may mark it.
     Granted(Claim<Claimed, C, P, R, S>),
-    /// Take the whole answer from this entry.
+    /// The request has ended and `entry` caches its complete answer.
     Held {
-        /// The entry.
+        /// The entry daemon.
         entry: MemberRef,
     },
-    /// Attach to the running answer at this entry.
+    /// The request is in progress at `entry`, whose answer the caller can attach to.
     Running {
-        /// The entry.
+        /// The entry daemon.
         entry: MemberRef,
     },
 }
 
-/// Claims keys for the requests of one entry daemon; clones share its state.
+/// Claims keys for the requests of one entry daemon. Clones share its state.
 pub struct Claims<C, P, R, S> {
     pub(super) inner: Rc<Inner<C, P, R, S>>,
 }
@@ -147,8 +147,8 @@
     R: Ranking,
     S: Store,
 {
-    /// Claims through this daemon's own `keeper`, which stands for it at the others. A keeper
-    /// that can't tell is asked again for `wait_at_most`.
+    /// Creates the claims of a daemon, whose own key owner is `owner`. Calls to the owner of a
+    /// key are retried for `retry_timeout` while it can't be reached or isn't settled.
     #[must_use]
     pub fn new(
         owner: KeyOwner<C, P, R>,
@@ -169,11 +169,11 @@
         }
     }
 
-    /// Claims the key of `wanted`, or says where its answer is.
+    /// Claims the key of `request`, or returns the entry that has its answer.
     ///
     /// # Errors
     ///
-    /// All kinds but [`Error::RateLimited`] and [`Error::StoreUnavailable`].
+    /// Any error but [`Error::RateLimited`] and [`Error::StoreUnavailable`].
     pub async fn claim(&self, request: &ClaimRequest) -> Result<Access<C, P, R, S>> {
         let id = KeyId::new(&request.customer, &request.key);
         let attempt = self.inner.attempts.get() + 1;
@@ -229,14 +229,15 @@
         }
     }
 
-    /// Sends what did not reach a keeper, and deletes objects that have outlived their time as
-    /// far as the budget of store calls allows.
+    /// Sends the queued messages, and deletes expired objects from the store as far as its budget
+    /// allows.
     pub async fn sweep(&self) {
         for _ in 0..self.unsent() {
             let next = self.inner.unsent.borrow_mut().pop_front();
             let Some((id, req)) = next else { break };
-            // A silent keeper costs the time limit of a call. Without a stop here a long queue
-            // for it would hold up the messages to all others; so it goes to the end.
+            // A call to an unreachable owner takes its full timeout. The message goes back to the
+            // end of the queue and the loop stops, so that a long queue for one owner doesn't delay
+            // the messages to all others.
             if !self.send_or_enqueue(id, req).await {
                 break;
             }
@@ -253,7 +254,7 @@
         }
     }
 
-    /// Calls [`sweep`](Self::sweep) for ever, once per `every`.
+    /// Calls [`sweep`](Self::sweep) forever, at intervals of `every`.
     pub async fn sweep_every(&self, every: Duration) {
         loop {
             self.inner.owner.inner.clock.sleep(every).await;
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Ends and releases that wait for a keeper that could not be reached, for the metrics.
+    /// Number of queued messages (ends and releases) that no owner has accepted yet.
     #[must_use]
     pub fn unsent(&self) -> usize {
         self.inner.unsent.borrow().len()
@@ -271,7 +272,8 @@
         self.inner.owner.inner.ranking.me()
     }
 
-    /// Asks the keeper of `id` until it can tell, for a bounded time.
+    /// Calls the owner of `id`. Retries while it can't be reached or isn't settled, for at most
+    /// `retry_timeout`.
     pub(super) async fn call_owner(&self, id: &KeyId, req: KeyRequest) -> KeyReply {
         let clock = &self.inner.owner.inner.clock;
         let until = clock.now() + self.inner.retry_timeout;
@@ -286,7 +288,8 @@
         }
     }
 
-    /// Tells the keeper once, and later again if it did not take it; whether it did.
+    /// Sends `req` to the owner of `id` once, and queues it if the owner didn't accept it. Returns
+    /// `true` if it did.
     pub(super) async fn send_or_enqueue(&self, id: KeyId, req: KeyRequest) -> bool {
         let reply = self.call_owner_once(&id, req.clone()).await;
         let accepted = !matches!(reply, KeyReply::NotOwner | KeyReply::Unsettled);
--- a/crates/lilaccrank/src/request_key/grant.rs
+++ b/crates/lilaccrank/src/request_key/grant.rs
@@ -1,4 +1,4 @@
-//! How the keeper decides about a claim.
+//! Decides claims on the owner of a key.
 
 use xxhash_rust::xxh3;
 
@@ -10,7 +10,7 @@
 use crate::request_key::ranking::{MemberRef, Ranking};
 use crate::request_key::record::{ClaimNumber, Holder, Outcome, Record, Stage};
 
-/// A claim as asked for.
+/// Fields of a [`KeyRequest::Claim`].
 pub(super) struct ClaimMessage {
     pub(super) attempt: u64,
     pub(super) body: BodyDigest,
@@ -19,13 +19,13 @@
     pub(super) idempotent: bool,
 }
 
-/// What a known record means for a claim.
+/// Decision about a claim, given the known record of its key.
 enum Decision {
-    /// The key may be claimed anew.
+    /// No claim stands in the way; a new one is created.
     Free,
-    /// A grant whose reply was lost.
+    /// This claim was granted before and its reply was lost.
     Granted,
-    /// The claim gets this reply.
+    /// No grant; the entry gets this reply.
     Reply(KeyReply),
 }
 
@@ -42,8 +42,8 @@
         if let Decision::Reply(reply) = decision {
             return reply;
         }
-        // After a change of members somebody else may know of a mark that is unknown here.
-        // Granting now would run the request again.
+        // After a membership change another member may hold a mark that is unknown here. Granting
+        // now could run the request twice.
         if !self.is_settled() {
             return KeyReply::Unsettled;
         }
@@ -85,7 +85,7 @@
         let reply = match record.stage {
             Stage::Claimed if same => return Decision::Granted,
             Stage::Claimed if !live => return Decision::Free,
-            // A claim that was delayed on the wire and comes after its own release.
+            // The claim was delayed on the network and arrives after its own release.
             Stage::Free if same => KeyReply::Superseded,
             Stage::Free => return Decision::Free,
             Stage::Claimed | Stage::Dispatching if live => KeyReply::Running { entry },
--- a/crates/lilaccrank/src/request_key/guard.rs
+++ b/crates/lilaccrank/src/request_key/guard.rs
@@ -1,4 +1,4 @@
-//! What a claim holds, and what becomes of it when its task is dropped.
+//! Drop guards that report the end of a claim to the owner of its key.
 
 use crate::clock::Clock;
 use crate::error_kind::ErrorKind;
@@ -10,11 +10,11 @@
 use crate::request_key::record::{Outcome, Record, Stage};
 use crate::store::Store;
 
-/// A granted claim that the keeper has to hear of again.
+/// A granted claim whose end has to be reported to the owner.
 ///
-/// The task of a request is dropped when its caller goes away. A claim left behind would send
-/// each repeat to this daemon, which runs nothing; so the drop leaves a message to the keeper,
-/// which the next sweep sends.
+/// The task of a request is dropped when its caller disconnects. A claim that stayed behind
+/// would direct each repeat to this daemon, which no longer runs the request. The drop
+/// therefore queues a message to the owner, which the next sweep sends.
 pub(super) struct ClaimGuard<C, P, R, S>
 where
     C: Clock,
@@ -48,7 +48,7 @@
         guard
     }
 
-    /// Asks the keeper to mark the claim.
+    /// Asks the owner to mark the claim.
     pub(super) async fn request_mark(&self) -> KeyReply {
         let req = KeyRequest::Mark {
             holder: self.record.holder.clone(),
@@ -57,12 +57,12 @@
         self.claims.call_owner(&self.id, req).await
     }
 
-    /// Somebody else holds the key now; there is nothing to report.
+    /// Skips the report on drop, as another claim holds the key now.
     pub(super) fn disarm(&mut self) {
         self.disarmed = true;
     }
 
-    /// Frees the key.
+    /// Sets the local record to released. [`report`](Self::report) tells the owner.
     pub(super) fn free(&mut self) {
         let holder = self.record.holder.clone();
         self.record
@@ -70,13 +70,13 @@
         self.save_local();
     }
 
-    /// Notes the stage here; the keeper hears of it by [`report`](Self::report).
+    /// Sets the stage of the local record. [`report`](Self::report) tells the owner.
     pub(super) fn set_stage(&mut self, stage: Stage) {
         self.record.stage = stage;
         self.save_local();
     }
 
-    /// Tells the keeper how the claim ended.
+    /// Reports the end or the release of the claim to the owner.
     pub(super) async fn report(mut self) {
         self.claims
             .send_or_enqueue(self.id, self.last_message())
@@ -130,8 +130,8 @@
     }
 }
 
-/// A claim whose grant is on its way. Unless it is answered, by a definite reply, its release
-/// is left for the next sweep: the grant may have been made and its reply lost.
+/// A claim that waits for the owner's reply. If it is dropped without a definite reply, its
+/// release is queued, as the claim may have been granted and the reply lost.
 pub(super) struct PendingClaim<C, P, R, S>
 where
     C: Clock,
--- a/crates/lilaccrank/src/request_key/handover.rs
+++ b/crates/lilaccrank/src/request_key/handover.rs
@@ -1,4 +1,4 @@
-//! Records move to their new owners when the members change.
+//! Transfers records to their new replicas after a membership change.
 
 use std::time::Instant;
 
@@ -13,8 +13,8 @@
 use crate::request_key::ranking::{MemberRef, Ranking};
 use crate::request_key::replicas::{self, MembersDigest, REPLICAS, View};
 
-/// What one page takes at most: bounds how long it keeps the daemon from other work, and its
-/// size on the wire.
+/// Limits of one page of records. They bound the size of its message and the time for which it
+/// blocks the daemon's thread.
 struct PageLimit {
     moved: usize,
     ranked: usize,
@@ -28,9 +28,11 @@
 };
 
 impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> KeyOwner<C, P, R> {
-    /// Called by [`run`](Self::run) at the start and after each change of the members: pushes records to
-    /// their new owners and asks every live member for what this daemon now owns. Until that
-    /// is done, claims get [`KeyReply::Unsettled`]. Returns early if the members change again.
+    /// Pushes records to their new replicas and fetches from every live member the records of
+    /// which this daemon now is a replica. Until that is done, claims get
+    /// [`KeyReply::Unsettled`]. Returns early if the membership changes again.
+    ///
+    /// [`run`](Self::run) calls this at the start and after each membership change or pause.
     pub async fn handle_membership_change(&self) {
         self.tick_if_paused();
         let view = self.inner.ranking.ranked(0);
@@ -39,9 +41,9 @@
         self.push_all(&view).await;
         let me = self.inner.ranking.me();
         if view == [me.clone()] {
-            // A daemon that was frozen finds all its timers expired, and may think for a moment
-            // that all others are dead. Alone it needs no copy, and would run a request that
-            // the others have run meanwhile. The wait gives their heartbeats time to arrive.
+            // A daemon that resumes after a suspension finds all its timers expired, and may
+            // briefly consider all others dead. Alone it needs no backup, and would grant requests
+            // that the others have run meanwhile. The wait lets their heartbeats arrive.
             self.wait_out_isolation(&view).await;
         }
         for member in view.iter().filter(|member| **member != me) {
@@ -55,7 +57,9 @@
         }
     }
 
-    /// Waits out the isolation hold, or until other members are seen.
+    /// Waits for [`Limits::isolation_wait`], or until the view changes.
+    ///
+    /// [`Limits::isolation_wait`]: crate::request_key::Limits::isolation_wait
     async fn wait_out_isolation(&self, view: &[MemberRef]) {
         let until = self.inner.clock.now() + self.inner.limits.isolation_wait;
         while self.inner.clock.now() < until && self.inner.ranking.ranked(0) == view {
@@ -66,7 +70,8 @@
         }
     }
 
-    /// Asks `member` for all its records that belong here; false if the members changed.
+    /// Fetches from `member` all records of which this daemon is a replica. Retries until it
+    /// succeeds; returns `false` if the membership changed meanwhile.
     async fn pull_from(&self, member: &MemberRef, view: &[MemberRef]) -> bool {
         let mut after = None;
         while self.inner.ranking.ranked(0) == view {
@@ -78,8 +83,8 @@
             if let Ok(KeyReply::Handover { moved, next }) =
                 self.inner.peers.call(&member.vm, req).await
             {
-                // Without room for a record of another holder its key would look unknown here;
-                // staying unsettled refuses claims instead.
+                // If a record doesn't fit into the table, its key would look unknown here. This
+                // daemon then stays unsettled and refuses claims.
                 if self.accept_push(moved) == KeyReply::Done {
                     match next {
                         Some(_) => after = next,
@@ -96,11 +101,11 @@
         false
     }
 
-    /// One page of the records that `owner` is to hold.
+    /// Returns one page of the records of which `replica` is a replica.
     ///
-    /// A daemon that doesn't see the new owner yet still acts as keeper in its place. What it
-    /// grants after this answer would be unknown to the owner, so it gives none until it sees
-    /// the owner, and then no longer grants.
+    /// A daemon that doesn't see the new member yet may still act as owner in its place, and the
+    /// new member would never learn of claims granted after this reply. The reply is therefore
+    /// [`KeyReply::Unsettled`] until this daemon sees the new member and stops granting.
     pub(super) fn hand_over(
         &self,
         after: Option<KeyId>,
@@ -147,14 +152,14 @@
         KeyReply::Handover { moved, next }
     }
 
-    /// Pushes each record to those of its owners that are not known to have it.
+    /// Pushes each record to its replicas, unless they are known to have it.
     async fn push_all(&self, view: &[MemberRef]) {
         let mut after = None;
         while self.inner.ranking.ranked(0) == view {
             let page = self.push_page(after);
             let mut delivered = true;
             for (vm, moved) in page.batches {
-                // A push that fails is made up for by the new owner, which asks.
+                // A failed push needs no retry: the new replica fetches its records itself.
                 let reply = self.inner.peers.call(&vm, KeyRequest::Push { moved }).await;
                 delivered &= reply == Ok(KeyReply::Done);
             }
@@ -199,7 +204,8 @@
         page
     }
 
-    /// Spares the records that have reached their owners the next push and handover.
+    /// Excludes the records that have reached their replicas from later pushes and handovers,
+    /// unless they have changed since.
     fn mark_replicated(&self, pushed: Vec<Pushed>) {
         let mut table = self.inner.table.borrow_mut();
         for Pushed {
@@ -218,7 +224,7 @@
     }
 }
 
-/// Records to push, by the vm of the new owner.
+/// Records to push, grouped by the VM of the replica.
 #[derive(Default)]
 struct PushPage {
     batches: IndexMap<VmId, Vec<MovedRecord>>,
@@ -226,7 +232,7 @@
     pushed: Vec<Pushed>,
 }
 
-/// A record as it was when it was pushed.
+/// Identifies the version of a record that was pushed.
 struct Pushed {
     id: KeyId,
     replicas: MembersDigest,
--- a/crates/lilaccrank/src/request_key/key_id.rs
+++ b/crates/lilaccrank/src/request_key/key_id.rs
@@ -1,13 +1,13 @@
-//! Digests that stand for a request key and for a body.
+//! Digests of request keys and request bodies.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes kept of each SHA-256: 128 bits leave no chance to a forged second preimage, and a
-/// record stays small.
+/// Length of the truncated SHA-256 digests in bytes. 128 bits still resist second-preimage
+/// attacks, and keep a record small.
 const DIGEST_SIZE: usize = 16;
 
-/// The scope of a request key: customer and key, as a digest of fixed size.
+/// Identifies a request key of a customer, as a digest of both.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct KeyId([u8; DIGEST_SIZE]);
 
@@ -16,18 +16,18 @@
 pub struct BodyDigest([u8; DIGEST_SIZE]);
 
 impl KeyId {
-    /// The id of `key` as used by `customer`.
+    /// Returns the id of `key` of `customer`.
     #[must_use]
     pub fn new(customer: &str, key: &str) -> Self {
         let mut hasher = Sha256::new();
-        // The length keeps ("ab", "c") and ("a", "bc") apart.
+        // Without the length, ("ab", "c") and ("a", "bc") would have the same digest.
         hasher.update(customer.len().to_le_bytes());
         hasher.update(customer);
         hasher.update(key);
         Self(truncated(hasher))
     }
 
-    /// Hash that the members are ranked for.
+    /// Hash by which the members are ranked for this key.
     #[must_use]
     pub fn hash(&self) -> u64 {
         let (first, _) = self.0.split_at(size_of::<u64>());
@@ -36,7 +36,7 @@
             .fold(0, |hash, byte| hash << 8 | u64::from(*byte))
     }
 
-    /// Name of the object that claims a non-idempotent request in the store.
+    /// Name of the store object that claims a non-idempotent request.
     #[must_use]
     pub fn object_name(&self) -> String {
         format!("request-key/{}", hex::encode(self.0))
@@ -44,18 +44,18 @@
 }
 
 impl BodyDigest {
-    /// Digest of `body`.
+    /// Returns the digest of `body`.
     #[must_use]
     pub fn new(body: &[u8]) -> Self {
         Self(truncated(Sha256::new_with_prefix(body)))
     }
 
-    /// Digest of a request that has more parts than its body, such as a path.
+    /// Returns the digest of a request that is identified by several parts, such as path and body.
     #[must_use]
     pub fn of_parts(parts: &[&[u8]]) -> Self {
         let mut hasher = Sha256::new();
         for part in parts {
-            // The length keeps ("ab", "c") and ("a", "bc") apart.
+            // Without the length, ("ab", "c") and ("a", "bc") would have the same digest.
             hasher.update(part.len().to_le_bytes());
             hasher.update(part);
         }
--- a/crates/lilaccrank/src/request_key/message.rs
+++ b/crates/lilaccrank/src/request_key/message.rs
@@ -1,4 +1,4 @@
-//! Messages between entries, keepers and copies.
+//! Messages between entry daemons, owners and backups.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,82 +7,82 @@
 use crate::request_key::ranking::MemberRef;
 use crate::request_key::record::{ClaimNumber, Holder, Outcome, Record};
 
-/// A record on its way to another holder.
+/// A record in a message to another member.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct MovedRecord {
     /// Milliseconds since the record last changed.
     pub age_ms: u64,
     /// The key.
     pub id: KeyId,
-    /// What is known of it.
+    /// The record of the key.
     pub record: Record,
 }
 
-/// A call to the keeper of a key, or between holders of records.
+/// Request to the owner of a key, or between replicas.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyRequest {
-    /// Entry to keeper: claim the key.
+    /// Entry to owner: claims the key.
     Claim {
-        /// Attempt of the entry.
+        /// Counter of the entry's claims.
         attempt: u64,
         /// Digest of the body.
         body: BodyDigest,
-        /// The entry.
+        /// The entry daemon.
         entry: MemberRef,
         /// The key.
         id: KeyId,
-        /// Whether the request may run more than once.
+        /// If `false`, the request must not run more than once.
         idempotent: bool,
     },
-    /// Keeper to copy: keep this unless something known contradicts it.
+    /// Owner to backup: stores the record unless it conflicts with a known one.
     Copy {
-        /// The keeper.
+        /// The owner.
         #[serde(rename = "keeper")]
         owner: MemberRef,
         /// The record.
         moved: MovedRecord,
     },
-    /// Entry to keeper: the dispatched request has ended.
+    /// Entry to owner: the dispatched request has ended.
     End {
-        /// Holder of the claim.
+        /// Holder and number of the claim.
         holder: Holder,
         /// The key.
         id: KeyId,
-        /// How it ended.
+        /// How the request ended.
         outcome: Outcome,
     },
-    /// New owner to any member: which records do you have for me?
+    /// New replica to any member: asks for the records that it should hold.
     Handover {
-        /// Continue after this key.
+        /// The page starts after this key.
         after: Option<KeyId>,
-        /// Members that the new owner thinks live.
+        /// Live members in the view of the new replica.
         live: Vec<MemberRef>,
-        /// The new owner.
+        /// The new replica.
         #[serde(rename = "owner")]
         replica: MemberRef,
     },
-    /// Entry to keeper: I am about to dispatch.
+    /// Entry to owner: marks the claim, right before the request is dispatched.
     Mark {
-        /// Holder of the claim.
+        /// Holder and number of the claim.
         holder: Holder,
         /// The key.
         id: KeyId,
     },
-    /// Holder to new owner: these are yours now.
+    /// Previous to new replica: records that it should hold.
     Push {
         /// The records.
         moved: Vec<MovedRecord>,
     },
-    /// Entry to keeper: I have not dispatched and never will.
+    /// Entry to owner: releases the claim, whose request was not dispatched and won't be.
     Release {
-        /// Attempt of the entry.
+        /// Counter of the entry's claims.
         attempt: u64,
-        /// The entry.
+        /// The entry daemon.
         entry: MemberRef,
         /// The key.
         id: KeyId,
-        /// Whether the claim may be in the store.
+        /// Set if the claim's object may exist in the store.
         may_be_stored: bool,
     },
 }
@@ -91,57 +91,58 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyReply {
-    /// The request was dispatched before; its answer can't be had.
+    /// The request was dispatched before and its answer isn't available.
     AlreadyRun {
-        /// How it failed, if that is known.
+        /// How the request failed, if known.
         failed: Option<ErrorKind>,
     },
     /// The claim is granted.
     Claimed {
-        /// Its number.
+        /// Number of the claim.
         claim: ClaimNumber,
-        /// False if any request under the key was non-idempotent.
+        /// If `false`, a request with this key was non-idempotent.
         idempotent: bool,
-        /// The latest claim known not to have run.
+        /// The latest claim that was released without a dispatch.
         released: Option<ClaimNumber>,
-        /// The latest released claim that may be in the store.
+        /// The latest released claim whose object may exist in the store.
         stored: Option<ClaimNumber>,
     },
-    /// The copy knows a record that contradicts the keeper's.
+    /// The backup has a record that conflicts with the owner's.
     Conflict {
-        /// The record known.
+        /// The backup's record.
         known: MovedRecord,
     },
-    /// Carried out.
+    /// The request was carried out.
     Done,
-    /// No room for another record.
+    /// The record table is full.
     Full,
     /// A page of records.
     Handover {
         /// The records.
         moved: Vec<MovedRecord>,
-        /// Ask again after this key; `None` at the end.
+        /// The next page starts after this key; `None` if this is the last page.
         next: Option<KeyId>,
     },
-    /// The entry holds the whole answer.
+    /// The request has ended and the entry caches its complete answer.
     Held {
-        /// The entry.
+        /// The entry daemon.
         entry: MemberRef,
     },
-    /// The key was used for another body.
+    /// The key was used before with a different body.
     KeyReused,
     /// The claim is marked as dispatching.
     Marked,
-    /// The key is kept elsewhere.
+    /// Another member owns the key.
     #[serde(rename = "not_keeper")]
     NotOwner,
-    /// An entry has the request in progress.
+    /// The request is in progress at an entry.
     Running {
-        /// The entry.
+        /// The entry daemon.
         entry: MemberRef,
     },
-    /// The claim is not, or no longer, the key's.
+    /// The claim doesn't hold the key, or no longer does.
     Superseded,
-    /// The members changed and it is not known yet what the others hold.
+    /// The owner can't decide yet: after a membership change it hasn't fetched all records, or it
+    /// couldn't replicate the change to the backup. The entry may retry.
     Unsettled,
 }
--- a/crates/lilaccrank/src/request_key/owner.rs
+++ b/crates/lilaccrank/src/request_key/owner.rs
@@ -1,4 +1,7 @@
-//! The side that keeps records: keeper, copy and former holder alike.
+//! Holds the records of keys and answers the messages about them.
+//!
+//! The same code serves the owner of a key, its backup and members that held its record before
+//! a membership change.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,23 +16,23 @@
 use crate::request_key::record::{Holder, Outcome, Record, Stage};
 use crate::request_key::table::Table;
 
-/// Bounds of one keeper.
+/// Limits and timeouts of a [`KeyOwner`].
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// How long an unmarked claim is kept; its holder can't mark it any more afterwards.
+    /// How long an unmarked claim is kept. Its holder can't mark it afterwards.
     pub claimed_ttl: Duration,
     /// How long the record of an ended idempotent request is kept.
     pub ended_ttl: Duration,
-    /// How long a daemon that sees no other member waits before it grants claims by itself.
+    /// How long a daemon that sees no other live member waits before it grants claims.
     pub isolation_wait: Duration,
-    /// Longest time between two ticks that is no pause of this process. Must stay below the
-    /// silence after which the others call a member dead.
+    /// Longest interval between two ticks that doesn't count as a pause of the process. Must be
+    /// shorter than the failure detector's timeout, after which the others treat a member as dead.
     pub pause_limit: Duration,
-    /// Records held, for itself and for others; new claims are granted up to half of it.
+    /// Maximum number of records, own and replicated. New claims may use half of it.
     pub record_limit: usize,
     /// How long the record of an ended non-idempotent request is kept.
     pub retention: Duration,
-    /// Wait between two tries to hear from a member after a change.
+    /// Wait between two attempts to get the records of a member after a membership change.
     pub retry_interval: Duration,
 }
 
@@ -47,7 +50,8 @@
     }
 }
 
-/// Keeps the records of the keys that this daemon ranks first or second for; clones share them.
+/// Holds the records of the keys for which this daemon ranks first (owner) or second (backup).
+/// Clones share the records.
 pub struct KeyOwner<C, P, R> {
     pub(super) inner: Rc<Inner<C, P, R>>,
 }
@@ -73,7 +77,8 @@
 }
 
 impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> KeyOwner<C, P, R> {
-    /// A keeper without records; it grants nothing until [`run`](Self::run) is under way.
+    /// Creates an owner without records. It grants no claims until [`run`](Self::run) has collected
+    /// the records of the other members.
     #[must_use]
     pub fn new(clock: C, peers: P, ranking: R, limits: Limits) -> Self {
         let table = RefCell::new(Table::new(limits.record_limit));
@@ -94,7 +99,7 @@
         }
     }
 
-    /// Answers one message of an entry or of another keeper.
+    /// Handles a message from an entry or from another replica.
     pub async fn handle(&self, req: KeyRequest) -> KeyReply {
         match req {
             KeyRequest::Claim {
@@ -138,7 +143,7 @@
         }
     }
 
-    /// Drops what has outlived its time.
+    /// Drops expired records.
     pub fn expire(&self) {
         let now = self.inner.clock.now();
         let ranking = &self.inner.ranking;
@@ -149,14 +154,15 @@
                 Stage::Claimed => age < self.inner.limits.claimed_ttl,
                 Stage::Dispatching if ranking.is_live(&record.holder.entry) => true,
                 _ if age < self.ttl(record) => true,
-                // The store's object goes first, see `due_for_deletion`.
+                // The record is dropped after its object in the store, see `due_for_deletion`.
                 _ => record.owns_object() && self.is_owner_of(id),
             }
         });
     }
 
-    /// Runs the upkeep for ever: notes pauses of the process, hands records over after changes
-    /// of the members, drops old records. `every` must be well below [`Limits::pause_limit`].
+    /// Runs the periodic work forever: detects pauses of the process, transfers records after
+    /// membership changes and drops expired records. `every` must be well below
+    /// [`Limits::pause_limit`].
     pub async fn run(&self, every: Duration) {
         let upkeep = async {
             loop {
@@ -176,12 +182,13 @@
         futures::future::join(upkeep, settle).await;
     }
 
-    /// Notes that the process runs. Without a tick for [`Limits::pause_limit`] it counts as
-    /// paused, and claims are answered as unsettled until the others have been heard again.
+    /// Records that the process is running. After more than [`Limits::pause_limit`] without a tick
+    /// the process counts as paused, and claims get [`KeyReply::Unsettled`] until the records of
+    /// the other members have been fetched again.
     ///
-    /// A frozen daemon may thaw into the very membership that it knew: it was called dead and
-    /// taken back meanwhile, and others granted claims in its place. Nothing but the time that
-    /// it missed tells it so.
+    /// A suspended daemon may resume with an unchanged view of the membership, although the
+    /// others declared it dead, granted claims in its place and took it back. The time that it
+    /// missed is the only sign of this.
     pub fn tick(&self) {
         let now = self.inner.clock.now();
         let since_tick = now.saturating_duration_since(self.inner.last_tick.replace(now));
@@ -191,27 +198,27 @@
         }
     }
 
-    /// Records held here.
+    /// Number of records held by this daemon.
     #[must_use]
     pub fn len(&self) -> usize {
         self.inner.table.borrow().len()
     }
 
-    /// Whether no records are held here.
+    /// Returns `true` if this daemon holds no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The record held here for `id`, for status and tests.
+    /// The record that this daemon holds for `id`, if any.
     #[must_use]
     pub fn record(&self, id: &KeyId) -> Option<Record> {
         let table = self.inner.table.borrow();
         table.get(id).map(|slot| slot.record.clone())
     }
 
-    /// Whether the records of others have been heard since the members last changed or this
-    /// process was last paused.
+    /// Returns `true` if the records of all other members have been fetched since the last
+    /// membership change or pause of this process. Only then may claims be granted.
     #[must_use]
     pub fn is_settled(&self) -> bool {
         self.tick_if_paused();
@@ -219,7 +226,7 @@
         settled_view.as_ref() == Some(&self.inner.ranking.ranked(0))
     }
 
-    /// After a pause, messages may be handled before the upkeep gets its turn.
+    /// Detects a pause before a message is handled, as the periodic tick may run only after it.
     pub(super) fn tick_if_paused(&self) {
         let since_tick = self.inner.clock.now() - self.inner.last_tick.get();
         if since_tick > self.inner.limits.pause_limit {
@@ -227,7 +234,7 @@
         }
     }
 
-    /// Keys kept here whose object in the store has outlived its time, at most `limit`.
+    /// Up to `limit` keys owned by this daemon whose object in the store has expired.
     pub(super) fn due_for_deletion(&self, limit: usize) -> Vec<KeyId> {
         let now = self.inner.clock.now();
         let table = self.inner.table.borrow();
@@ -248,10 +255,10 @@
         self.inner.table.borrow_mut().remove(id);
     }
 
-    /// Takes in a record that this daemon knows as the entry of its request.
+    /// Stores a record for which this daemon is the entry.
     ///
-    /// If keeper and copy both die while the request runs, no owner would know of it and a
-    /// repeat would run it again. The entry is a third holder, which a new keeper asks.
+    /// If owner and backup both died while the request runs, no replica would know of it and a
+    /// repeat would run again. The entry keeps a third copy, which a new owner fetches.
     pub(super) fn save_local(&self, id: KeyId, record: Record) {
         let moved = MovedRecord {
             age_ms: 0,
@@ -269,8 +276,8 @@
         if !self.is_settled() {
             return KeyReply::Unsettled;
         }
-        // A frozen entry that thaws after its key was claimed anew fails here, before it has
-        // sent anything.
+        // An entry that was suspended while its key was claimed again is refused here, before
+        // it has sent anything.
         let Some(record) = self.change(&id, |record| record.mark(holder)) else {
             return KeyReply::Superseded;
         };
@@ -300,7 +307,8 @@
         }
     }
 
-    /// Applies a transition; the changed record, or `None` if the transition is not allowed.
+    /// Applies `transition`. Returns the resulting record, or `None` if the key is unknown or the
+    /// transition is not allowed.
     pub(super) fn change(
         &self,
         id: &KeyId,
--- a/crates/lilaccrank/src/request_key/ranking.rs
+++ b/crates/lilaccrank/src/request_key/ranking.rs
@@ -1,28 +1,28 @@
-//! What request keys need to know of the membership.
+//! Interface of the request keys to the membership.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Incarnation, VmId};
 
-/// One life of a daemon.
+/// One incarnation of a daemon.
 #[derive(Clone, Debug, Deserialize, Display, Eq, Hash, PartialEq, Serialize)]
 #[display("{vm}/{incarnation}")]
 pub struct MemberRef {
-    /// Which life of the vm.
+    /// Incarnation of the daemon, which differs after each restart.
     pub incarnation: Incarnation,
-    /// The vm that the daemon runs on.
+    /// The VM that the daemon runs on.
     pub vm: VmId,
 }
 
-/// Live members of this data centre, ranked for a key.
+/// Ranks the live members of this data centre for a key.
 pub trait Ranking: Clone + 'static {
-    /// Whether `member`, in this very incarnation, is thought live.
+    /// Returns `true` if `member` is considered live in exactly this incarnation.
     fn is_live(&self, member: &MemberRef) -> bool;
 
     /// This daemon.
     fn me(&self) -> MemberRef;
 
-    /// All live members, this daemon included, the best for `key_hash` first.
+    /// Returns all live members, including this daemon, with the highest rank for `key_hash` first.
     fn ranked(&self, key_hash: u64) -> Vec<MemberRef>;
 }
--- a/crates/lilaccrank/src/request_key/replicas.rs
+++ b/crates/lilaccrank/src/request_key/replicas.rs
@@ -1,4 +1,4 @@
-//! The owners of a key, kept with its record for as long as the members stay the same.
+//! Finds the replicas of a key and caches them with its record until the membership changes.
 
 use xxhash_rust::xxh3;
 
@@ -6,33 +6,34 @@
 use crate::request_key::ranking::{MemberRef, Ranking};
 use crate::request_key::table::Slot;
 
-/// Holders of each record: the keeper and its copy.
+/// Number of replicas of each record: the owner and its backup.
 pub(super) const REPLICAS: usize = 2;
 
-/// Names a list of members, as a hash.
+/// Hash that identifies a list of members.
 pub(super) type MembersDigest = u64;
 
-/// The live members as this daemon sees them at one moment.
+/// Snapshot of the live members as this daemon sees them.
 pub(super) struct View {
     digest: MembersDigest,
-    /// The members, in the order of rank for key hash 0.
+    /// The members, ranked for key hash 0.
     pub(super) members: Vec<MemberRef>,
 }
 
-/// The owners of one key in one view.
+/// The replicas of one key in one view.
 ///
-/// After a change each member asks for all records that it owns now. Ranking every record for
-/// every member that asks took seconds of processor time; with this it is done once a change.
+/// After a membership change each member asks for all records that it should hold. Ranking
+/// every record for every such request took seconds of CPU time; with this cache each record
+/// is ranked once per change.
 #[derive(Clone, Copy)]
 pub(super) struct KeyReplicas {
-    /// Names the owners.
+    /// Identifies the replicas.
     pub(super) digest: MembersDigest,
     positions: [Option<u16>; REPLICAS],
     view: MembersDigest,
 }
 
 impl View {
-    /// The present view of `ranking`.
+    /// Takes a snapshot of the live members of `ranking`.
     pub(super) fn of(ranking: &impl Ranking) -> Self {
         let members = ranking.ranked(0);
         Self {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// The owners of `id`, ranked anew only if the members have changed.
+    /// Returns the replicas of `id`, from the cache in `slot` unless the membership has changed.
     pub(super) fn replicas(&self, ranking: &impl Ranking, id: &KeyId, slot: &Slot) -> KeyReplicas {
         let known = slot.replicas.get();
         if let Some(replicas) = known.filter(|replicas| replicas.view == self.digest) {
@@ -61,13 +62,13 @@
         replicas
     }
 
-    /// Whether the owners of the record in `slot` need no ranking.
+    /// Returns `true` if `slot` has the replicas for this view in its cache.
     pub(super) fn has_cached_replicas(&self, slot: &Slot) -> bool {
         let known = slot.replicas.get();
         known.is_some_and(|replicas| replicas.view == self.digest)
     }
 
-    /// The members that `owners` stands for.
+    /// Returns the members of this view at the positions in `replicas`.
     pub(super) fn resolve(&self, replicas: KeyReplicas) -> impl Iterator<Item = &MemberRef> {
         let positions = replicas.positions.into_iter().flatten();
         positions.filter_map(|position| self.members.get(usize::from(position)))
@@ -79,7 +80,7 @@
     }
 }
 
-/// Names the owners of a key in this ranking.
+/// Identifies the replicas of a key, given the members ranked for it.
 pub(super) fn replicas_digest(ranked: &[MemberRef]) -> MembersDigest {
     digest(&ranked[..ranked.len().min(REPLICAS)])
 }
--- a/crates/lilaccrank/src/request_key/replication.rs
+++ b/crates/lilaccrank/src/request_key/replication.rs
@@ -1,4 +1,4 @@
-//! Keeper and copy: a change counts only once both have it.
+//! Replicates records to the backup. A change is acknowledged once owner and backup have it.
 
 use crate::clock::Clock;
 use crate::peers::Peers;
@@ -10,11 +10,12 @@
 use crate::request_key::replicas;
 
 impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> KeyOwner<C, P, R> {
-    /// Brings `record` to the second in rank. `Done` only if the copy has it, nothing changed
-    /// it meanwhile and this daemon still is the keeper.
+    /// Sends `record` to the backup. Returns [`KeyReply::Done`] only if the backup has it, the
+    /// record hasn't changed meanwhile and this daemon still is the owner.
     ///
-    /// Without the copy the death of this daemon would make the key unknown again. A copy that
-    /// does not answer is waited for until the membership calls it dead and ranks the next.
+    /// Without the backup's copy, the death of this daemon would make the key unknown again. If
+    /// the backup doesn't answer, changes are refused until the membership declares it dead and
+    /// ranks the next member second.
     pub(super) async fn replicate(&self, id: &KeyId, record: &Record) -> KeyReply {
         let ranked = self.inner.ranking.ranked(id.hash());
         if let Some(backup) = ranked.get(1) {
@@ -45,9 +46,11 @@
         KeyReply::Done
     }
 
-    /// Two daemons can both think that they keep a key while the members change. This one
-    /// backs only the keeper that it sees itself, and no record that contradicts its own, so at
-    /// most one of them is acknowledged.
+    /// Stores the owner's record as its backup.
+    ///
+    /// During a membership change two daemons can both consider themselves the owner. The backup
+    /// accepts records only from the owner in its own view, and none that conflict with its own
+    /// record, so at most one of the two gets an acknowledgement.
     pub(super) fn accept_copy(&self, owner: &MemberRef, moved: MovedRecord) -> KeyReply {
         let ranked = self.inner.ranking.ranked(moved.id.hash());
         if ranked.first() != Some(owner) {
@@ -70,6 +73,7 @@
         KeyReply::Done
     }
 
+    /// Merges records from another replica. Returns [`KeyReply::Full`] if one didn't fit.
     pub(super) fn accept_push(&self, moved: Vec<MovedRecord>) -> KeyReply {
         let now = self.inner.clock.now();
         let mut table = self.inner.table.borrow_mut();
--- a/crates/lilaccrank/src/request_key/store_claim.rs
+++ b/crates/lilaccrank/src/request_key/store_claim.rs
@@ -1,4 +1,4 @@
-//! The claim of a non-idempotent request in the store, by conditional create.
+//! Claims a non-idempotent request in the store by a conditional create.
 
 use bytes::Bytes;
 use thiserror::Error;
@@ -12,24 +12,24 @@
 /// Result of a claim in the store.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Tries to create the object while neither the write nor the reading back tells.
+/// Maximum number of attempts to create the object, each a write and a read of its result.
 const ATTEMPT_LIMIT: usize = 3;
 
-/// Why the claim was not made.
+/// Error of a claim in the store.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// Another claim is in the store, and it may have run.
-    #[error("another claim is in the store")]
+    /// The store has another claim, whose request may have run.
+    #[error("the store has another claim for this key")]
     Taken,
-    /// The store asks for fewer calls.
-    #[error("the store takes no more calls now")]
+    /// The store throttles calls.
+    #[error("the store throttles calls")]
     Throttled,
-    /// The store can't be asked.
-    #[error("the store can't be asked")]
+    /// The store is unavailable, or no attempt had a definite result.
+    #[error("the store is unavailable")]
     Unavailable,
 }
 
-/// The create of one claim's object.
+/// Creation of the object of one claim.
 pub struct Create<'a> {
     holder: &'a Holder,
     may_be_stored: bool,
@@ -38,8 +38,8 @@
 }
 
 impl<'a> Create<'a> {
-    /// The object of `id` for `holder`. `stored` is the latest claim in the store whose holder
-    /// said that it did not run.
+    /// Prepares the object of `id` for `holder`. `stored` is the latest released claim whose
+    /// object may exist in the store; that object may be replaced.
     pub fn new(id: &KeyId, holder: &'a Holder, stored: Option<ClaimNumber>) -> Self {
         Self {
             holder,
@@ -49,17 +49,22 @@
         }
     }
 
-    /// Whether the object may exist, after [`run`](Self::run).
+    /// Returns `true` if the object may exist after [`run`](Self::run).
     pub fn may_be_stored(&self) -> bool {
         self.may_be_stored
     }
 
-    /// Creates the object, or finds that it was created before.
+    /// Creates the object, or finds that an earlier attempt created it.
     ///
-    /// A write whose answer is lost and that can't be read back may leave an object behind.
-    /// The refusal is true all the same, as the holder sends nothing then and says so in its
-    /// release; the next claim learns of it as `stored` and replaces the object. If the
-    /// records are lost too, the object stands for a request that may have run.
+    /// A write whose reply is lost and that can't be read back may leave an object behind. The
+    /// request is still refused correctly as not run: the holder sends nothing and releases the
+    /// claim, and the next claim gets it as `stored` and replaces the object. If the record is
+    /// lost as well, the object is taken for a request that may have run.
+    ///
+    /// # Errors
+    ///
+    /// The request must not be sent. The object may exist, see
+    /// [`may_be_stored`](Self::may_be_stored).
     pub async fn run<C: Clock, S: Store>(&mut self, store: &S, budget: &Budget<C>) -> Result<()> {
         self.create(store, budget).await?;
         self.may_be_stored = true;
@@ -93,6 +98,7 @@
     }
 }
 
+/// An object that is in the store already and doesn't prevent the claim.
 enum Existing {
     Own,
     Released(Version),
--- a/crates/lilaccrank/src/request_key/table.rs
+++ b/crates/lilaccrank/src/request_key/table.rs
@@ -1,4 +1,4 @@
-//! The bounded table of records.
+//! Bounded table of records.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -10,27 +10,27 @@
 use crate::request_key::record::Record;
 use crate::request_key::replicas::{KeyReplicas, MembersDigest};
 
-/// A record as held here.
+/// An entry of the table: a record and its replication state.
 pub(super) struct Slot {
-    /// The owners in the view in which they were last looked up.
+    /// Cached replicas, valid for the view in which they were looked up.
     pub replicas: Cell<Option<KeyReplicas>>,
     /// The record.
     pub record: Record,
-    /// The owners that have acknowledged this very state of the record.
+    /// Identifies the replicas that have this version of the record; `None` if not yet replicated.
     pub replicated_to: Option<MembersDigest>,
-    /// When the record last changed.
+    /// Time of the last change of the record.
     pub changed_at: Instant,
 }
 
-/// Records by key. Ordered, unlike the other maps of the library, because a handover reads it
-/// in pages while it changes.
+/// Records by key. Ordered, unlike the other maps of the library, as a handover reads it in
+/// pages while it changes.
 pub(super) struct Table {
     limit: usize,
     slots: BTreeMap<KeyId, Slot>,
 }
 
 impl Table {
-    /// An empty table with room for `limit` records.
+    /// Creates an empty table for at most `limit` records.
     pub fn new(limit: usize) -> Self {
         Self {
             limit,
@@ -38,28 +38,28 @@
         }
     }
 
-    /// Whether a new claim finds room. Half of the table is for the records of others: a claim
-    /// that was granted elsewhere must not be lost on its way here.
+    /// Returns `true` if a new claim may be added. Half of the table is reserved for records from
+    /// other members: a claim that was granted there must not be lost in its transfer.
     pub fn has_room_for_claim(&self) -> bool {
         self.slots.len() < self.limit / 2
     }
 
-    /// The slot of `id`.
+    /// Returns the slot of `id`.
     pub fn get(&self, id: &KeyId) -> Option<&Slot> {
         self.slots.get(id)
     }
 
-    /// The slot of `id`, to change.
+    /// Returns the slot of `id` for changes.
     pub fn get_mut(&mut self, id: &KeyId) -> Option<&mut Slot> {
         self.slots.get_mut(id)
     }
 
-    /// Records held.
+    /// Number of records.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Puts `record` in the place of whatever is known; false if there is no room.
+    /// Inserts `record`, or replaces the record of its key. Returns `false` if the table is full.
     pub fn put(&mut self, id: KeyId, record: Record, changed_at: Instant) -> bool {
         if self.slots.len() >= self.limit && !self.slots.contains_key(&id) {
             return false;
@@ -74,8 +74,8 @@
         true
     }
 
-    /// Takes in what another holder knows, unless what is known here is newer; false if there
-    /// is no room.
+    /// Merges a record from another member, unless it doesn't supersede the known one. Returns
+    /// `false` if the table is full.
     pub fn absorb(&mut self, moved: MovedRecord, now: Instant) -> bool {
         let known = self.slots.get(&moved.id).map(|slot| &slot.record);
         if known.is_some_and(|known| *known == moved.record || !moved.record.supersedes(known)) {
@@ -91,20 +91,20 @@
         self.slots.remove(id);
     }
 
-    /// Slots after `after`, by ascending key.
+    /// Returns the slots after key `after`, in ascending order of their keys.
     pub fn after(&self, after: Option<KeyId>) -> impl Iterator<Item = (&KeyId, &Slot)> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
         self.slots.range((start, Bound::Unbounded))
     }
 
-    /// Keeps the slots that `keep` approves.
+    /// Removes the slots for which `keep` returns `false`.
     pub fn retain(&mut self, mut keep: impl FnMut(&KeyId, &Slot) -> bool) {
         self.slots.retain(|id, slot| keep(id, slot));
     }
 }
 
 impl Slot {
-    /// The record with its age, for another holder.
+    /// Returns the record with its age, to be sent to another member.
     pub fn moved(&self, id: KeyId, now: Instant) -> MovedRecord {
         let age = now.saturating_duration_since(self.changed_at);
         MovedRecord {
--- a/crates/lilaccrank/tests/suite/request_key.rs
+++ b/crates/lilaccrank/tests/suite/request_key.rs
@@ -1,4 +1,5 @@
-//! Request keys: failures with fakes, and the model of claim, dispatch and takeover.
+//! Tests of request keys: failures on a simulated cluster, and a model check of claim, dispatch
+//! and takeover.
 
 #[path = "request_key/cluster.rs"]
 mod cluster;
--- a/crates/lilaccrank/tests/suite/request_key/cluster.rs
+++ b/crates/lilaccrank/tests/suite/request_key/cluster.rs
@@ -1,4 +1,4 @@
-//! Daemons of one data centre in one thread, with a wire and a store that fail on order.
+//! Simulated daemons of one data centre, with fault injection for their network and store.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -28,7 +28,7 @@
 const CALL_LIMIT: Duration = Duration::from_millis(500);
 const RETRY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What one daemon thinks of the membership; lower vm numbers rank first for every key.
+/// Membership as one daemon sees it. Members rank for every key in the order of `live`.
 #[derive(Clone)]
 pub struct View {
     pub live: Rc<RefCell<Vec<MemberRef>>>,
@@ -49,10 +49,10 @@
     }
 }
 
-/// Which calls the wire loses.
+/// Messages that the network loses.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Loss {
-    /// Calls from keeper to copy.
+    /// Calls from owner to backup.
     Copies,
     /// None.
     #[default]
@@ -90,16 +90,16 @@
     }
 }
 
-/// How the store fails.
+/// Fault of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Every call.
+    /// Every call fails.
     Away,
-    /// The next write takes effect and its answer is lost; then the store is away.
+    /// The next write takes effect and its reply is lost; then every call fails.
     EffectThenAway,
-    /// The next write takes effect and its answer is lost.
+    /// The next write takes effect and its reply is lost.
     LostAnswer,
-    /// The next write is lost and so is the reason.
+    /// The next write has no effect and no definite result.
     LostWrite,
 }
 
@@ -193,7 +193,7 @@
         Self::with(size, limits, RETRY_TIMEOUT)
     }
 
-    /// Daemons whose entries ask the keeper for at most `wait`.
+    /// Creates a cluster whose entries retry calls to the owner for at most `wait`.
     pub fn with(size: usize, limits: Limits, wait: Duration) -> Self {
         let clock = PausedClock::new();
         let peers = FakePeers {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Runs `fut`, moving time on whenever all stand still.
+    /// Runs `fut` to completion, and advances the clock whenever no task can proceed.
     pub fn run<T>(&self, fut: impl Future<Output = T>) -> T {
         let mut fut = std::pin::pin!(fut.fuse());
         let mut pool = self.pool.borrow_mut();
@@ -257,24 +257,24 @@
         panic!("no end after 100 s");
     }
 
-    /// Daemon `index` answers no more; and those that run learn it.
+    /// Stops daemon `index`, and removes it from the views of the running daemons.
     pub fn stop(&self, index: usize) {
         self.peers.down.borrow_mut().push(member(index).vm);
         self.set_live(|live| live.retain(|other| *other != member(index)));
     }
 
-    /// Daemon `index`, stopped before, runs on; the others have not noticed yet.
+    /// Thaws the stopped daemon `index`. The views of the others don't change.
     pub fn thaw(&self, index: usize) {
         let mut down = self.peers.down.borrow_mut();
         down.retain(|vm| *vm != member(index).vm);
     }
 
-    /// Daemon `index` sees the members `live`, in this order.
+    /// Sets the view of daemon `index` to the members `live`, ranked in this order.
     pub fn set_view(&self, index: usize, live: impl Iterator<Item = usize>) {
         *self.daemons[index].view.live.borrow_mut() = live.map(member).collect();
     }
 
-    /// Everybody sees the members `live`, in this order.
+    /// Sets the view of all daemons to the members `live`, ranked in this order.
     pub fn rejoin(&self, live: &[usize]) {
         for index in 0..self.daemons.len() {
             self.set_view(index, live.iter().copied());
@@ -293,14 +293,14 @@
         daemons.filter(move |daemon| !down.contains(&daemon.view.me.vm))
     }
 
-    /// Runs the handover of all running daemons.
+    /// Transfers records between all running daemons.
     pub fn settle(&self) {
         for daemon in self.running() {
             self.run(daemon.owner.handle_membership_change());
         }
     }
 
-    /// Stops a daemon and lets the others take over.
+    /// Stops daemon `index` and lets the others take over its keys.
     pub fn kill(&self, index: usize) {
         self.stop(index);
         self.settle();
@@ -318,7 +318,7 @@
         self.run(self.daemons[index].claims.claim(request))
     }
 
-    /// Claims where nothing stands against it.
+    /// Claims a key at daemon `index`. Panics unless the claim is granted.
     pub fn granted(&self, index: usize, request: &ClaimRequest) -> TestClaim {
         match self.claim(index, request) {
             Ok(Access::Granted(claim)) => claim,
--- a/crates/lilaccrank/tests/suite/request_key/failures.rs
+++ b/crates/lilaccrank/tests/suite/request_key/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of daemons and of the wire around a claim.
+//! Failures of daemons and of their network around a claim.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 const HELD: Outcome = Outcome::Held { until_ms: 60_000 };
 const ALREADY_RUN: Option<Error> = Some(Error::AlreadyRun { failed: None });
 
-/// A repeat at daemon 2 after daemon 1 has marked its claim and the listed daemons were killed.
+/// Repeats a request at daemon 2, after daemon 1 marked its claim and the listed daemons died.
 macro_rules! repeat_after_mark {
     ($name:ident, kill $killed:expr, $expected:pat) => {
         #[test]
@@ -31,8 +31,8 @@
     };
 }
 
-// The caller repeats at another daemon while the first runs its request. Whoever holds the
-// record, it must answer "running there" as long as the entry lives, and "may have run" after.
+// The caller repeats its request at another daemon while the first one runs it. Whichever
+// replica answers, the reply must be "running" while the entry lives, and "already run" after.
 repeat_after_mark!(repeat_attaches, kill [], Ok(Access::Running { .. }));
 repeat_after_mark!(
     repeat_attaches_without_owner,
@@ -52,9 +52,9 @@
 
 #[test]
 fn owner_killed_between_claim_and_mark() {
-    // The caller sees one answer. Its entry claims, the keeper dies, the entry marks at the
-    // successor. The successor has the claim as its copy, so the mark finds it; and a repeat
-    // that comes first is sent to the entry and gets no claim of its own.
+    // The owner dies between claim and mark. Its successor has the claim as the backup, so the
+    // mark succeeds there, and an earlier repeat is directed to the entry instead of being
+    // granted a second claim.
     let cluster = Cluster::new(3);
     let claim = cluster.granted(2, &request(true));
     cluster.kill(0);
@@ -65,9 +65,9 @@
 
 #[test]
 fn owner_and_backup_change_at_once() {
-    // Keeper 0 and copy 1 freeze, 2 and 3 take over and run the request, and both thaw into the
-    // membership that they knew. Neither has heard of the key, and 0 sees no change of members.
-    // It may not grant the repeat before it has asked the others: it says so, not "unknown".
+    // Owner 0 and backup 1 are frozen while 2 and 3 take over and run the request. Both thaw
+    // with the membership that they knew and without the record. 0 must detect its pause and
+    // refuse the repeat as unsettled until it has fetched the records of the others.
     let cluster = Cluster::new(4);
     cluster.stop(0);
     cluster.kill(1);
@@ -87,8 +87,8 @@
 
 #[test]
 fn owner_and_backup_die_while_the_entry_runs() {
-    // Both holders of the record die at once while entry 2 runs the request. No owner is left
-    // that knows the key, but the entry does, and the new keeper asks all before it grants.
+    // Owner and backup die at once while entry 2 runs the request. Only the entry still has the
+    // record, and the new owner must fetch it before it grants a claim.
     let cluster = Cluster::new(4);
     let _running = cluster.marked(2, &request(true));
     cluster.stop(0);
@@ -99,9 +99,9 @@
 
 #[test]
 fn frozen_entry_thaws_after_a_takeover() {
-    // Entry 2 claims and freezes; it is thought dead and the repeat at 1 gets a new claim and
-    // runs. When 2 thaws it still holds its claim and wants to dispatch. Its mark carries the
-    // old claim number and fails, and the stale record that it pushes changes nothing.
+    // Entry 2 is frozen after its claim and declared dead; the repeat at 1 gets a new claim and
+    // runs. Thawed, 2 still holds the old claim. Its mark must fail, as the claim number is
+    // outdated, and the stale record that it pushes must not replace the new one.
     let cluster = Cluster::new(3);
     let frozen = cluster.granted(2, &request(true));
     cluster.kill(2);
@@ -117,9 +117,9 @@
 
 #[test]
 fn frozen_owner_thaws_after_a_takeover() {
-    // Keeper 0 freezes and 1 takes over, grants and marks for entry 2. Thawed, 0 still thinks
-    // that it keeps the key, which it never heard of, and gets a claim for its own caller. The
-    // copy at 1 sees another keeper and does not acknowledge, so 0 can't grant.
+    // Owner 0 is frozen; 1 takes over and grants and marks a claim of entry 2. Thawed, 0 still
+    // considers itself the owner, doesn't know the key and gets a claim. It must not grant it: its
+    // backup 1 sees another owner and doesn't acknowledge.
     let cluster = Cluster::new(3);
     cluster.kill(0);
     let _running = cluster.marked(2, &request(true));
@@ -132,9 +132,9 @@
 
 #[test]
 fn isolated_daemon_waits_before_it_grants() {
-    // A frozen daemon thaws, finds its timers expired and thinks all others dead. Alone it
-    // needs no copy; granting at once would run what the others run. It has to wait first, and
-    // by then the heartbeats have arrived and the view is back.
+    // A thawed daemon finds its timers expired and considers all others dead. Alone it needs no
+    // backup, and an immediate grant could run a request that the others run. It must wait first,
+    // so that their heartbeats can arrive and restore its view.
     let cluster = Cluster::new(3);
     let _running = cluster.marked(1, &request(true));
     cluster.daemons[2]
@@ -154,9 +154,9 @@
 
 #[test]
 fn joining_daemon_waits_until_all_see_it() {
-    // Daemon 0 is back, but the others have not noticed and 1 still keeps its keys. What 1 grants
-    // after it has handed its records over would be unknown to 0, which would grant it again.
-    // So they hand nothing over before they see 0, and 0 grants nothing until then.
+    // Daemon 0 has thawed, but the others don't see it yet and 1 still owns its keys. A claim that
+    // 1 grants after its handover would be unknown to 0, which would grant it again. So the others
+    // refuse the handover until they see 0, and 0 grants nothing until then.
     let cluster = Cluster::new(3);
     cluster.kill(0);
     cluster.thaw(0);
@@ -174,8 +174,8 @@
 
 #[test]
 fn two_repeats_race_at_two_daemons() {
-    // The caller's client times out and sends again while the first request is on its way, so
-    // two daemons claim at the same moment. One gets the claim, the other is sent to it.
+    // The caller's client retries after a timeout while its first request is in flight, so two
+    // daemons claim the key concurrently. One must get the claim, the other is directed to it.
     let cluster = Cluster::new(3);
     let request = request(true);
     let (first, second) = (
@@ -189,8 +189,8 @@
 
 #[test]
 fn claim_without_its_backup_is_not_acknowledged() {
-    // The wire between keeper and copy is cut. Were the claim granted, the keeper's death would
-    // forget it. The caller is refused as not run, and once the wire is back its retry runs.
+    // The network loses the calls from owner to backup. If the claim were granted, it would be lost
+    // with the owner. It must be refused as not run, and a retry must run after the network heals.
     let cluster = Cluster::new(3);
     cluster.lose(Loss::Copies);
     let refusal = refused(cluster.claim(2, &request(true))).unwrap();
@@ -202,8 +202,8 @@
 
 #[test]
 fn mark_whose_replies_are_lost_frees_the_key() {
-    // The keeper marks, but no reply reaches the entry, which therefore must not dispatch and
-    // refuses as not run. Its release, sent later, frees the key, and the repeat runs.
+    // The owner marks the claim, but its replies are lost. The entry must not dispatch, and refuses
+    // the request as not run. Its release, sent later, frees the key, so that the repeat runs.
     let cluster = Cluster::new(3);
     let claim = cluster.granted(2, &request(true));
     cluster.lose(Loss::Replies);
@@ -227,8 +227,8 @@
 
 #[test]
 fn record_of_a_running_request_never_expires() {
-    // An answer streams for longer than any record is kept. Were its record dropped, a repeat
-    // would run the request beside itself.
+    // An answer streams for longer than records are kept. If the record of the running request
+    // expired, a repeat would run the request concurrently.
     let cluster = Cluster::new(3);
     let running = cluster.marked(2, &request(true));
     advance_and_expire(&cluster, Duration::from_secs(100_000));
@@ -241,8 +241,8 @@
 
 #[test]
 fn expired_claim_can_not_be_marked() {
-    // A claim waits in a queue until its record is dropped and a repeat elsewhere runs. The
-    // first can't be marked any more, so its entry dispatches nothing.
+    // A request waits in a queue until the record of its claim expires, and a repeat runs
+    // elsewhere. The first claim can't be marked any more, so its entry dispatches nothing.
     let cluster = Cluster::new(3);
     let waiting = cluster.granted(2, &request(true));
     advance_and_expire(&cluster, Duration::from_secs(601));
@@ -250,7 +250,7 @@
     assert_eq!(cluster.run(waiting.mark_dispatching()).err(), ALREADY_RUN);
 }
 
-/// Lets time pass in which the upkeep runs.
+/// Advances the clock by `duration`, transfers records and drops expired ones.
 fn advance_and_expire(cluster: &Cluster, duration: Duration) {
     cluster.clock.advance(duration);
     cluster.settle();
@@ -262,8 +262,8 @@
 
 #[test]
 fn full_backup_prevents_the_grant() {
-    // The table of the copy is full of records of others. Without a copy the keeper's death
-    // would forget the claim, so it is refused as not run, and its place is freed.
+    // The backup's table is full of other records. A claim without a backup would be lost with the
+    // owner, so it must be refused as not run, and the owner must release its record.
     let cluster = Cluster::with_limits(
         3,
         Limits {
@@ -287,8 +287,8 @@
 
 #[test]
 fn all_pages_of_a_handover_arrive() {
-    // More records move than one page takes. One that was left out would look unknown at its
-    // new keeper, and its request would be run again.
+    // More records are transferred than fit into one page. A record that was left out would be
+    // unknown to its new owner, and its request would run again.
     let cluster = Cluster::new(3);
     cluster.stop(0);
     cluster.kill(1);
@@ -355,8 +355,8 @@
 
 #[test]
 fn delayed_claim_after_its_release_is_rejected() {
-    // A claim is delayed on the wire; its entry gives up, is refused and releases. Were the
-    // late claim granted, repeats would be sent to an entry that runs nothing.
+    // A claim arrives late, after its entry has given up and released it. If it were granted,
+    // repeats would be directed to an entry that doesn't run the request.
     let cluster = Cluster::new(3);
     let claim = cluster.granted(2, &request(true));
     let late = KeyRequest::Claim {
@@ -372,7 +372,7 @@
     assert_eq!(record.stage, Stage::Free);
 }
 
-/// The caller goes away and the task of its request is dropped; then it repeats elsewhere.
+/// The caller disconnects and the task of its request is dropped; then it repeats elsewhere.
 macro_rules! repeat_after_drop {
     ($name:ident, |$cluster:ident| $dropped:expr, $expected:pat) => {
         #[test]
@@ -387,9 +387,9 @@
     };
 }
 
-// A claim left behind would send each repeat to an entry that runs nothing. Dropped before its
-// mark it frees the key; after the mark it may have run; and the grant of a claim whose task
-// was dropped while the reply was on its way is released as well.
+// A claim that stayed behind would direct each repeat to an entry that doesn't run the request.
+// Dropped before its mark, or before the reply with its grant arrives, it must free the key.
+// Dropped after the mark, it must count as already run.
 repeat_after_drop!(
     drop_of_a_claim,
     |c| drop(c.granted(2, &request(true))),
--- a/crates/lilaccrank/tests/suite/request_key/model.rs
+++ b/crates/lilaccrank/tests/suite/request_key/model.rs
@@ -1,4 +1,4 @@
-//! Model check of claim, dispatch and takeover; `--no-capture` prints the counts.
+//! Model check of claim, dispatch and takeover. `--no-capture` prints the numbers of states.
 
 use crate::request_key::search;
 use crate::request_key::spec::{KeySpec, Mutation};
@@ -13,7 +13,7 @@
     }
 }
 
-/// The whole specification holds in every state that is reachable within the bounds.
+/// Checks that the invariants hold in every state that is reachable within the bounds.
 macro_rules! holds {
     ($name:ident, $attempts:expr, faults $faults:literal, idempotent $idempotent:literal) => {
         #[test]
@@ -39,7 +39,7 @@
 holds!(idempotent_two_faults, [0, 1, 2], faults 2, idempotent true);
 holds!(non_idempotent_two_faults, [0, 1, 1], faults 2, idempotent false);
 
-/// Without one safeguard the search finds a violation: the check can fail.
+/// Checks that the search finds a violation if one safeguard is disabled.
 macro_rules! violates {
     ($name:ident, $mutation:ident, $attempts:expr, faults $faults:literal, $idempotent:literal, $violation:expr) => {
         #[test]
--- a/crates/lilaccrank/tests/suite/request_key/replay.rs
+++ b/crates/lilaccrank/tests/suite/request_key/replay.rs
@@ -1,4 +1,4 @@
-//! Paths of the specification, replayed against the code; each step must lead to its state.
+//! Replays paths of the specification against the code and compares the states after each step.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::request_key::spec::{Action, KeySpec, Lost, Mutation};
 use crate::request_key::spec_state::{self, Number, Phase, Rec, SIZE, State};
 
-/// One path in this many is replayed.
+/// Every n-th path is replayed.
 const SAMPLE: usize = 61;
 const PAUSE: Duration = Duration::from_secs(2);
 
@@ -140,7 +140,7 @@
     }
 }
 
-/// The specification's view of a record.
+/// Converts a record to its form in the specification.
 fn to_spec_record(record: Record) -> Rec {
     let number = |claim: ClaimNumber| Number(claim.number, claim.grant);
     let holder = record.holder;
--- a/crates/lilaccrank/tests/suite/request_key/search.rs
+++ b/crates/lilaccrank/tests/suite/request_key/search.rs
@@ -1,16 +1,17 @@
-//! Search of all states of a specification.
+//! Exhaustive breadth-first search of the states of a specification.
 
 use std::hash::Hash;
 
 use indexmap::IndexMap;
 
-/// States, their successors and what must hold in each.
+/// A specification: its initial state, successors and invariants.
 pub trait Spec {
     type Action: Copy;
     type State: Clone + Eq + Hash;
 
     fn start(&self) -> Self::State;
     fn successors(&self, state: &Self::State) -> Vec<(Self::Action, Self::State)>;
+    /// Returns the invariant that `state` violates, if any.
     fn violated(&self, state: &Self::State) -> Option<&'static str>;
 }
 
@@ -21,7 +22,7 @@
     pub violation: Option<&'static str>,
 }
 
-/// Searches until a state violates the specification or no new state is left.
+/// Searches until a state violates an invariant or no new state is found.
 pub fn search<S: Spec>(spec: &S) -> Search<S> {
     let mut states = IndexMap::from([(spec.start(), None)]);
     let mut next = 0;
@@ -47,7 +48,7 @@
 }
 
 impl<S: Spec> Search<S> {
-    /// Actions from the start to state `index`, each with the state it leads to.
+    /// Returns the actions from the initial state to state `index`, each with its resulting state.
     pub fn path(&self, mut index: usize) -> Vec<(S::Action, &S::State)> {
         let mut path = Vec::new();
         while let (state, Some((from, action))) = self.states.get_index(index).unwrap() {
--- a/crates/lilaccrank/tests/suite/request_key/spec.rs
+++ b/crates/lilaccrank/tests/suite/request_key/spec.rs
@@ -1,5 +1,6 @@
-//! The specification: one key, three daemons that are entry and keeper at once, in states and
-//! successors. Daemon 0 ranks first, 1 second. Written apart from the code it is compared with.
+//! Specification of the protocol for one key and three daemons, each of them entry and owner.
+//! Daemon 0 ranks first, 1 second. It shares no code with the implementation, which the replay
+//! compares with it.
 
 use crate::request_key::search::Spec;
 use xxhash_rust::xxh3;
@@ -36,7 +37,7 @@
     Thaw(usize),
 }
 
-/// A safeguard left out.
+/// Safeguard that is disabled in the specification.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Mutation {
     MarkAfterDispatch,
@@ -49,7 +50,7 @@
     Nothing,
 }
 
-/// The specification within bounds.
+/// The specification and the bounds of its search.
 pub struct KeySpec {
     pub attempts: [u64; SIZE],
     pub mutation: Mutation,
@@ -65,14 +66,14 @@
 }
 
 impl KeySpec {
-    /// The keeper that `entry` asks, if it is the keeper in its own eyes too.
+    /// The owner that `entry` calls, if that daemon is running and considers itself the owner.
     fn owner(&self, state: &State, entry: usize) -> Option<usize> {
         let owner = ranked(state.view(entry)).next()?;
         let agrees = ranked(state.view(owner)).next() == Some(owner);
         (state.daemons[owner].is_running() && agrees).then_some(owner)
     }
 
-    /// Brings the keeper's record to its copy; whether the change counts.
+    /// Replicates the owner's record to its backup. Returns `true` if the change is acknowledged.
     fn replicate(&self, state: &mut State, owner: usize, lost: Lost) -> bool {
         let Some(backup) = ranked(state.view(owner)).nth(1) else {
             return true;
@@ -180,7 +181,7 @@
         self.replicate(state, owner, lost) && acknowledged
     }
 
-    /// The entry gives up a claim, says "not run" and frees the key as far as it can.
+    /// The entry refuses the request as not run and releases its claim, if it reaches the owner.
     fn refuse(&self, state: &mut State, entry: usize, rec: Rec, lost: Lost) {
         let free = Rec {
             released: Some(rec.number),
@@ -355,8 +356,8 @@
             Phase::Frozen(_) => return vec![Action::Thaw(index)],
             Phase::Thawed(_) => actions.push(Action::Rejoin(index)),
             Phase::Up => {
-                // A record of an idempotent request survives one loss at a time: the next fault
-                // comes only after the owners hold it again.
+                // The record of an idempotent request survives one fault at a time: the next one
+                // occurs only after the replicas have it again.
                 if state.faults < self.faults && (!self.idempotent || state.all_settled()) {
                     actions.extend([Action::Crash(index), Action::Freeze(index)]);
                 }
--- a/crates/lilaccrank/tests/suite/request_key/spec_state.rs
+++ b/crates/lilaccrank/tests/suite/request_key/spec_state.rs
@@ -1,6 +1,6 @@
-//! What the specification of request keys has for a state: three daemons, one key, the store.
+//! State of the request key specification: three daemons, one key and the store.
 
-/// Daemons of the specification.
+/// Number of daemons in the specification.
 pub const SIZE: usize = 3;
 pub type View = [bool; SIZE];
 
@@ -72,7 +72,7 @@
         (self.entry, self.attempt, self.number) == (other.entry, other.attempt, other.number)
     }
 
-    /// Whether this record wins over `old`.
+    /// Returns `true` if this record may replace `old`.
     pub fn supersedes(&self, old: &Self) -> bool {
         let order = |stage| match stage {
             Stage::Claimed => 0,
--- a/crates/lilaccrank/tests/suite/request_key/store_failures.rs
+++ b/crates/lilaccrank/tests/suite/request_key/store_failures.rs
@@ -1,4 +1,4 @@
-//! Failures of the store, and of daemons, around a non-idempotent request.
+//! Failures of the store and of daemons around a non-idempotent request.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::request_key::cluster::{Cluster, Fault, request};
 
-/// The mark under a fault of the store; then, with the store back, a repeat elsewhere.
+/// Marks a claim during a fault of the store, and repeats the request elsewhere after it.
 macro_rules! mark_under {
     ($name:ident, $fault:ident, $expected:expr, repeat runs $runs:literal) => {
         #[test]
@@ -30,9 +30,9 @@
     };
 }
 
-// The answer to the create is lost. The entry reads back: it finds its own claim and runs the
-// request, or finds nothing and creates again. If it can't read back it refuses as not run,
-// and what its write left behind must not keep the repeat from running.
+// The result of the create is unknown. The entry reads the object: it finds its own claim and
+// runs the request, or finds nothing and creates it again. If it can't read, it refuses the
+// request as not run, and an object that its write left behind must not block the repeat.
 mark_under!(create_whose_answer_is_lost, LostAnswer, None, repeat runs false);
 mark_under!(create_that_is_lost, LostWrite, None, repeat runs false);
 mark_under!(store_unavailable, Away, Some(Error::StoreUnavailable), repeat runs true);
@@ -40,8 +40,8 @@
 
 #[test]
 fn unavailable_store_is_refused_at_once() {
-    // The store is away. The caller of a non-idempotent request must not wait for it: the
-    // refusal comes without any time passing, and says truthfully that nothing was run.
+    // The store is unavailable. A non-idempotent request must be refused as not run immediately,
+    // without waiting for the store.
     let cluster = Cluster::new(3);
     let claim = cluster.granted(2, &request(false));
     cluster.store.fault.set(Some(Fault::Away));
@@ -53,9 +53,9 @@
 
 #[test]
 fn repeats_during_and_after_a_store_outage() {
-    // The create takes effect, its answer is lost and the store goes away. The caller repeats
-    // during the outage and is refused each time as not run. Once the store is back it finds
-    // an object of its own first try there, which never ran: the repeat must run.
+    // The create takes effect, its reply is lost and the store becomes unavailable. Repeats during
+    // the outage are refused as not run. After it, the store has the object of the first attempt,
+    // which never ran, so the next repeat must run.
     let cluster = Cluster::new(3);
     let claim = cluster.granted(2, &request(false));
     cluster.store.fault.set(Some(Fault::EffectThenAway));
@@ -72,8 +72,8 @@
 
 #[test]
 fn owner_backup_and_entry_die() {
-    // Keeper, copy and entry of a running non-idempotent request all die. No daemon knows the
-    // key any more and the last one grants the repeat; the object in the store stops its mark.
+    // Owner, backup and entry of a running non-idempotent request die. The last daemon doesn't know
+    // the key and grants the repeat; its mark must fail because of the object in the store.
     let cluster = Cluster::new(4);
     let _running = cluster.marked(2, &request(false));
     cluster.stop(0);
@@ -86,9 +86,9 @@
 
 #[test]
 fn other_data_centre_is_stopped_by_the_store() {
-    // The caller repeats in another data centre, whose daemons share only the store. They find
-    // the claim of the first there, and must not delete it when their own record has had its
-    // time: it is not theirs, and may have been renewed.
+    // The caller repeats in another data centre, which shares only the store. Its daemons find the
+    // first claim there and refuse. They must not delete its object when their own record expires:
+    // it belongs to the other data centre and may have been renewed.
     let here = Cluster::new(3);
     let _running = here.marked(2, &request(false));
     let there = Cluster::new(2);
@@ -108,8 +108,8 @@
 
 #[test]
 fn claims_over_the_budget_are_refused_without_a_call() {
-    // A customer sends non-idempotent requests faster than the store's budget allows. Those
-    // over it are refused at once as not run, and the store gets no call for them.
+    // A customer sends non-idempotent requests faster than the budget of the store allows. The
+    // excess must be refused as not run, without a call to the store.
     let cluster = Cluster::new(3);
     let mut refused = 0;
     for index in 0..30 {
