--- a/crates/lilaccrank/src/advisories.rs
+++ b/crates/lilaccrank/src/advisories.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::ContentDigest;
-use crate::target_life::LifeDigest;
+use crate::target_instance::InstanceDigest;
 
 pub mod recent;
 pub mod record;
@@ -44,7 +44,7 @@
         /// Digest of the request's content.
         content: ContentDigest,
         /// Digest of the target's ID and start time.
-        target: LifeDigest,
+        target: InstanceDigest,
     },
     /// A target answered a request with this content completely.
     #[serde(rename = "d")]
@@ -64,7 +64,7 @@
         /// Requests per 1,000 seconds; `None` if the target no longer has a limit.
         per_1000_s: Option<u32>,
         /// Digest of the target's ID and start time.
-        target: LifeDigest,
+        target: InstanceDigest,
     },
 }
 
@@ -88,9 +88,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Key {
     Completed(ContentDigest),
-    Crash(ContentDigest, LifeDigest),
+    Crash(ContentDigest, InstanceDigest),
     Quarantined(ContentDigest),
-    RateLimit(LifeDigest),
+    RateLimit(InstanceDigest),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -239,7 +239,7 @@
     }
 
     /// Rate limits that targets currently advertise, in requests per second.
-    pub fn rate_limits(&self, now: Instant) -> impl Iterator<Item = (LifeDigest, f64)> {
+    pub fn rate_limits(&self, now: Instant) -> impl Iterator<Item = (InstanceDigest, f64)> {
         let current = self.facts.values();
         let current = current.filter(move |record| record.is_current(now));
         current.filter_map(|record| match record.fact {
--- a/crates/lilaccrank/src/dispatch/affinity.rs
+++ b/crates/lilaccrank/src/dispatch/affinity.rs
@@ -12,7 +12,7 @@
 
 use super::message::CacheEvent;
 use crate::prompt;
-use crate::target_life::TargetLife;
+use crate::target_instance::TargetInstance;
 
 /// Maximum number of blocks tracked per target.
 const MAX_BLOCKS_PER_TARGET: usize = 4096;
@@ -30,7 +30,7 @@
     largest_batch: usize,
     sequence: Option<u64>,
     last_used: IndexMap<u64, u64>,
-    target: TargetLife,
+    target: TargetInstance,
 }
 
 /// Target that probably holds the start of a prefix.
@@ -39,7 +39,7 @@
     /// Number of blocks it holds.
     pub blocks: usize,
     /// The target.
-    pub target: &'a TargetLife,
+    pub target: &'a TargetInstance,
 }
 
 /// Assumed cache contents of all targets of a pool.
@@ -48,23 +48,23 @@
     caches: IndexMap<TargetIndex, CacheModel>,
     holders: IndexMap<u64, Vec<TargetIndex>>,
     next_index: TargetIndex,
-    indices: IndexMap<TargetLife, TargetIndex>,
+    indices: IndexMap<TargetInstance, TargetIndex>,
     use_counter: u64,
 }
 
 impl Affinity {
     /// Records that a target has computed this prefix.
-    pub fn record_prefill(&mut self, target: &TargetLife, prefix: &[u64]) {
+    pub fn record_prefill(&mut self, target: &TargetInstance, prefix: &[u64]) {
         let index = self.index(target);
         // Blocks are stored last to first, so that the start of the prefix is evicted last: later
         // blocks are useless without it.
-        for digest in prefix.iter().take(prompt::BLOCK_LIMIT).rev() {
+        for digest in prefix.iter().take(prompt::MAX_PREFIX_BLOCKS).rev() {
             self.store(index, *digest);
         }
     }
 
     /// Applies cache events; `sequence` numbers the batches of one target without gaps.
-    pub fn apply_events(&mut self, target: &TargetLife, sequence: u64, events: &[CacheEvent]) {
+    pub fn apply_events(&mut self, target: &TargetInstance, sequence: u64, events: &[CacheEvent]) {
         let index = self.index(target);
         let Some(cache) = self.caches.get_mut(&index) else {
             return;
@@ -89,7 +89,7 @@
     }
 
     /// Removes a target.
-    pub fn forget(&mut self, target: &TargetLife) {
+    pub fn forget(&mut self, target: &TargetInstance) {
         if let Some(index) = self.indices.swap_remove(target) {
             self.clear(index);
             self.caches.swap_remove(&index);
@@ -98,12 +98,12 @@
 
     /// Number of leading blocks of the prefix that the target probably holds.
     #[must_use]
-    pub fn matched_blocks(&self, target: &TargetLife, prefix: &[u64]) -> usize {
+    pub fn matched_blocks(&self, target: &TargetInstance, prefix: &[u64]) -> usize {
         let Some(cache) = self.cache(target) else {
             return 0;
         };
         // Engines evict a chain from its end, so the cached blocks are always a leading part of it.
-        let prefix = &prefix[..prefix.len().min(prompt::BLOCK_LIMIT)];
+        let prefix = &prefix[..prefix.len().min(prompt::MAX_PREFIX_BLOCKS)];
         prefix.partition_point(|digest| cache.last_used.contains_key(digest))
     }
 
@@ -111,7 +111,12 @@
     #[must_use]
     pub fn holders(&self, prefix: &[u64], limit: usize) -> Vec<Holder<'_>> {
         let mut found: Vec<(TargetIndex, usize)> = Vec::new();
-        for (i, digest) in prefix.iter().take(prompt::BLOCK_LIMIT).enumerate().rev() {
+        for (i, digest) in prefix
+            .iter()
+            .take(prompt::MAX_PREFIX_BLOCKS)
+            .enumerate()
+            .rev()
+        {
             let indices = self.holders.get(digest).map_or(&[][..], Vec::as_slice);
             // Holders of a longer part also hold this one, so an equal count means the same
             // targets.
@@ -136,15 +141,15 @@
 
     /// Number of blocks tracked for a target.
     #[must_use]
-    pub fn block_count(&self, target: &TargetLife) -> usize {
+    pub fn block_count(&self, target: &TargetInstance) -> usize {
         self.cache(target).map_or(0, |cache| cache.last_used.len())
     }
 
-    fn cache(&self, target: &TargetLife) -> Option<&CacheModel> {
+    fn cache(&self, target: &TargetInstance) -> Option<&CacheModel> {
         self.caches.get(self.indices.get(target)?)
     }
 
-    fn index(&mut self, target: &TargetLife) -> TargetIndex {
+    fn index(&mut self, target: &TargetInstance) -> TargetIndex {
         if let Some(index) = self.indices.get(target) {
             return *index;
         }
--- a/crates/lilaccrank/src/guarded_store.rs
+++ b/crates/lilaccrank/src/guarded_store.rs
@@ -1,8 +1,8 @@
-//! A store behind a circuit and a budget of retries.
+//! A store client with a circuit breaker and a retry budget.
 //!
-//! A cut-off data centre keeps asking for a store that does not answer, and when the store comes
-//! back every client asks at once. Behind this wrapper the calls of each client stop while the
-//! store is away, and come back one trial at a time, spread evenly.
+//! While the store can't be reached, for instance from a data centre that is cut off, clients
+//! would keep calling it, and all would call at once when it recovers. This wrapper suspends the
+//! calls of each client during an outage and resumes them one trial call at a time, with jitter.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -12,30 +12,31 @@
 use bytes::Bytes;
 
 use crate::backoff::Backoff;
-use crate::circuit::{self, Circuit, Permit};
+use crate::circuit_breaker::{self, CircuitBreaker, Permit};
 use crate::clock::{self, Clock};
 use crate::retry_budget::{self, RetryBudget};
 use crate::store::{Error, Expect, Result, Store, Version, Versioned};
 
-/// Longest wait of a watch that is the trial of a half-open circuit. A quiet object would
-/// otherwise keep the circuit half open for as long as the watch, and all other calls out.
-const TRIAL_WATCH: Duration = Duration::from_millis(500);
+/// Maximum wait of a watch that is the trial call. A watch on an object that doesn't change would
+/// otherwise keep the circuit breaker half open, and reject all other calls, for its whole
+/// duration.
+const MAX_TRIAL_WATCH: Duration = Duration::from_millis(500);
 
-/// Circuit, budget and tries of a guarded store.
+/// Settings of a [`GuardedStore`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The retry budget.
+    /// Retry budget.
     pub budget: retry_budget::Settings,
-    /// Longest wait for an answer; a watch may take its own time besides.
+    /// Timeout of a call; the wait of a watch is added to it.
     pub call_timeout: Duration,
-    /// The circuit.
-    pub circuit: circuit::Settings,
-    /// Ceiling of the first wait between tries.
-    pub first_wait: Duration,
-    /// Highest ceiling of a wait.
-    pub longest_wait: Duration,
-    /// Tries of one call, the first included.
-    pub tries: u32,
+    /// Circuit breaker.
+    pub circuit: circuit_breaker::Settings,
+    /// Ceiling of the first wait between attempts.
+    pub initial_wait: Duration,
+    /// Maximum ceiling of a wait between attempts.
+    pub max_wait: Duration,
+    /// Maximum number of attempts of one call, including the first.
+    pub attempt_limit: u32,
 }
 
 impl Default for Settings {
@@ -43,86 +44,89 @@
         Self {
             budget: retry_budget::Settings::default(),
             call_timeout: Duration::from_secs(2),
-            circuit: circuit::Settings::default(),
-            first_wait: Duration::from_millis(50),
-            longest_wait: Duration::from_secs(1),
-            tries: 3,
+            circuit: circuit_breaker::Settings::default(),
+            initial_wait: Duration::from_millis(50),
+            max_wait: Duration::from_secs(1),
+            attempt_limit: 3,
         }
     }
 }
 
-/// A store whose calls are limited while it fails; clones share the limits.
+/// A store client that limits its calls while the store fails; clones share the limits.
 #[derive(Clone)]
 pub struct GuardedStore<S, C> {
     budget: Rc<RefCell<RetryBudget>>,
     cfg: Settings,
-    circuit: Circuit<C>,
+    circuit: CircuitBreaker<C>,
     clock: C,
     store: S,
 }
 
-/// Whether a call may be made again after [`Error::Unknown`].
+/// Kind of a call, which decides whether it may be retried after [`Error::Unknown`].
 #[derive(Clone, Copy, Eq, PartialEq)]
-enum Kind {
+enum CallKind {
     Read,
-    /// It may have taken effect: only its caller can tell by reading back.
+    /// Not retried: it may have taken effect, which only the caller can find out by reading back.
     Write,
 }
 
 impl<S: Store, C: Clock> GuardedStore<S, C> {
-    /// Guards `store`.
+    /// Wraps `store`.
     pub fn new(cfg: Settings, store: S, clock: C) -> Self {
         let budget = RetryBudget::new(cfg.budget.clone(), clock.now());
         Self {
             budget: Rc::new(RefCell::new(budget)),
-            circuit: Circuit::new(cfg.circuit.clone(), clock.clone()),
+            circuit: CircuitBreaker::new(cfg.circuit.clone(), clock.clone()),
             cfg,
             clock,
             store,
         }
     }
 
-    /// `once` makes the call; it is given how long the store may wait before it answers.
+    /// Calls `attempt` until its result is final. `attempt` gets the time for which the store may
+    /// delay its answer.
     async fn call<T, F>(
         &self,
-        kind: Kind,
+        kind: CallKind,
         wait: Duration,
-        once: impl Fn(Duration) -> F,
+        attempt: impl Fn(Duration) -> F,
     ) -> Result<T>
     where
         F: Future<Output = Result<T>>,
     {
         self.budget.borrow_mut().record_call();
-        let mut backoff = Backoff::new(self.cfg.first_wait, self.cfg.longest_wait);
-        let mut tries = 1;
+        let mut backoff = Backoff::new(self.cfg.initial_wait, self.cfg.max_wait);
+        let mut attempts = 1;
         loop {
-            // An open circuit ends the call: retries against it would only use up the budget.
+            // Retries against an open circuit breaker would only use up the budget.
             let Ok(permit) = self.circuit.permit() else {
                 return Err(Error::Unavailable);
             };
             let wait = if permit.is_trial() {
-                wait.min(TRIAL_WATCH)
+                wait.min(MAX_TRIAL_WATCH)
             } else {
                 wait
             };
             let limit = wait + self.cfg.call_timeout;
-            let answer = clock::timeout(&self.clock, limit, once(wait)).await;
+            let answer = clock::timeout(&self.clock, limit, attempt(wait)).await;
             let outcome = answer.unwrap_or(Err(Error::Unknown));
-            tell(permit, &outcome);
-            let Some(least) = retry_after(kind, &outcome) else {
+            record_outcome(permit, &outcome);
+            let Some(min_wait) = retry_after(kind, &outcome) else {
                 return outcome;
             };
-            if tries >= self.cfg.tries || !self.budget.borrow_mut().try_retry(self.clock.now()) {
+            if attempts >= self.cfg.attempt_limit
+                || !self.budget.borrow_mut().try_retry(self.clock.now())
+            {
                 return outcome;
             }
-            self.clock.sleep(least + backoff.next_wait()).await;
-            tries += 1;
+            self.clock.sleep(min_wait + backoff.next_wait()).await;
+            attempts += 1;
         }
     }
 }
 
-/// Tells the circuit what came of a call. A conflict is an answer like any other.
-fn tell<T, C: Clock>(permit: Permit<C>, outcome: &Result<T>) {
+/// Reports the outcome of a call to the circuit breaker. A conflict shows that the store works.
+fn record_outcome<T, C: Clock>(permit: Permit<C>, outcome: &Result<T>) {
     match outcome {
         Ok(_) | Err(Error::Conflict { .. } | Error::TooLarge { .. }) => permit.succeeded(),
         Err(Error::Throttled { retry_after }) => permit.failed(*retry_after),
@@ -130,31 +134,31 @@
     }
 }
 
-/// Least wait before the call may be made again; `None` if its outcome stands.
-fn retry_after<T>(kind: Kind, outcome: &Result<T>) -> Option<Duration> {
+/// Minimum wait before the call may be retried; `None` if its outcome is final.
+fn retry_after<T>(kind: CallKind, outcome: &Result<T>) -> Option<Duration> {
     match outcome {
         Err(Error::Throttled { retry_after }) => Some(*retry_after),
         Err(Error::Unavailable) => Some(Duration::ZERO),
-        Err(Error::Unknown) if kind == Kind::Read => Some(Duration::ZERO),
+        Err(Error::Unknown) if kind == CallKind::Read => Some(Duration::ZERO),
         _ => None,
     }
 }
 
 impl<S: Store, C: Clock> Store for GuardedStore<S, C> {
     async fn get(&self, key: &str) -> Result<Option<Versioned>> {
-        self.call(Kind::Read, Duration::ZERO, |_| self.store.get(key))
+        self.call(CallKind::Read, Duration::ZERO, |_| self.store.get(key))
             .await
     }
 
     async fn put(&self, key: &str, value: Bytes, expect: Expect) -> Result<Version> {
-        self.call(Kind::Write, Duration::ZERO, |_| {
+        self.call(CallKind::Write, Duration::ZERO, |_| {
             self.store.put(key, value.clone(), expect)
         })
         .await
     }
 
     async fn delete(&self, key: &str, expect: Expect) -> Result<()> {
-        self.call(Kind::Write, Duration::ZERO, |_| {
+        self.call(CallKind::Write, Duration::ZERO, |_| {
             self.store.delete(key, expect)
         })
         .await
@@ -166,7 +170,9 @@
         seen: Option<Version>,
         wait: Duration,
     ) -> Result<Option<Versioned>> {
-        self.call(Kind::Read, wait, |wait| self.store.watch(key, seen, wait))
-            .await
+        self.call(CallKind::Read, wait, |wait| {
+            self.store.watch(key, seen, wait)
+        })
+        .await
     }
 }
--- a/crates/lilaccrank/src/request_key.rs
+++ b/crates/lilaccrank/src/request_key.rs
@@ -15,13 +15,13 @@
 //! - In a network partition, two groups of daemons in one data centre may each consider the other
 //!   dead and own the key independently. Only the claim in the store holds across such a
 //!   partition.
-//! - An error of [`Claims`] with [`Ran::No`] refers to the refused attempt. Repeating the request
+//! - An error of [`Claims`] with [`Executed::No`] refers to the refused attempt. Repeating the request
 //!   with the same key is always safe.
 //!
 //! To embed request keys, serve [`KeyOwner::handle`] to the other daemons, run [`KeyOwner::run`]
 //! and [`Claims::sweep_every`] as tasks, and claim the key of each request by [`Claims::claim`].
 //!
-//! [`Ran::No`]: crate::error_kind::Ran::No
+//! [`Executed::No`]: crate::error_kind::Executed::No
 
 pub mod budget;
 pub mod claim;
--- a/crates/lilaccrank/tests/suite/dispatch_affinity.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_affinity.rs
@@ -6,7 +6,7 @@
 
 use lilaccrank::dispatch::message::{Ask, CacheEvent};
 use lilaccrank::prompt;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::dispatch_fixtures::{FIRST_TOKEN, ask, granted, harness};
 use crate::dispatch_harness::Harness;
@@ -16,7 +16,7 @@
 #[test]
 fn large_sequence_gap_clears_the_cached_blocks() {
     let harness = harness(&[8, 8]);
-    let target = TargetLife::from("t1");
+    let target = TargetInstance::from("t1");
     let stored: Vec<CacheEvent> = (0..8).map(CacheEvent::Stored).collect();
     harness.dispatcher.cache_events(&target, 1, &stored);
     let cached = |harness: &Harness| harness.dispatcher.status().targets[1].cached_blocks;
@@ -35,7 +35,7 @@
 #[test]
 fn lost_event_drops_the_oldest_block() {
     let harness = harness(&[8, 8]);
-    let target = TargetLife::from("t1");
+    let target = TargetInstance::from("t1");
     let stored = |sequence: u64| {
         let events = [CacheEvent::Stored(sequence)];
         harness.dispatcher.cache_events(&target, sequence, &events);
@@ -58,7 +58,7 @@
 fn ask_waits_for_a_prefix_in_prefill() {
     let mut harness = harness(&[8, 8]);
     let ask_with_prefix = |request: &str, seed: u8, tier: u8| Ask {
-        prefix: prompt::digests(&[seed; 2000], 64),
+        prefix: prompt::block_prefix_digests(&[seed; 2000], 64),
         prompt_tokens: 2000,
         ..ask(request, tier)
     };
@@ -86,7 +86,7 @@
 #[test]
 fn affinity_yields_to_load() {
     let mut harness = harness(&[64, 64]);
-    let prefix = prompt::digests(&[7; 2000], 64);
+    let prefix = prompt::block_prefix_digests(&[7; 2000], 64);
     let ask_with_shared_prefix = |i: u32| Ask {
         prefix: prefix.clone(),
         prompt_tokens: 2000,
@@ -114,12 +114,12 @@
 fn wait_for_the_target_with_the_prefix_is_bounded() {
     let mut harness = harness(&[2, 2]);
     let ask_with_shared_prefix = |request: &str, tier: u8| Ask {
-        prefix: prompt::digests(&[7; 2000], 64),
+        prefix: prompt::block_prefix_digests(&[7; 2000], 64),
         prompt_tokens: 2000,
         ..ask(request, tier)
     };
     for request in ["x", "y"] {
-        let exclusions = vec![TargetLife::from("t1")];
+        let exclusions = vec![TargetInstance::from("t1")];
         let ask = ask_with_shared_prefix(request, 0);
         harness.ask(Ask { exclusions, ..ask });
         harness.report(request, "t0", FIRST_TOKEN);
@@ -145,7 +145,7 @@
 #[test]
 fn cached_blocks_are_bounded() {
     let harness = harness(&[8]);
-    let target = TargetLife::from("t0");
+    let target = TargetInstance::from("t0");
     let stored: Vec<CacheEvent> = (0..10_000).map(CacheEvent::Stored).collect();
     harness.dispatcher.cache_events(&target, 1, &stored);
     assert_eq!(harness.dispatcher.status().targets[0].cached_blocks, 4096);
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -8,7 +8,7 @@
 use lilaccrank::dispatch::status::TargetStatus;
 use lilaccrank::document::TargetState;
 use lilaccrank::error_kind::ErrorKind;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 
 use crate::dispatch_harness::{self, Harness};
@@ -214,7 +214,10 @@
             let reserved = if urgent { 0 } else { t.slots / 8 };
             running_on(&t.id).count() as u32 + reserved < t.slots
                 && pending_prefill(&t.id).sum::<u32>() < 8192
-                && !waiting.ask.exclusions.contains(&TargetLife::from(&*t.id))
+                && !waiting
+                    .ask
+                    .exclusions
+                    .contains(&TargetInstance::from(&*t.id))
         });
         eligible.map(|t| t.id.clone()).collect()
     }
@@ -308,7 +311,7 @@
             ask.customer = format!("c{customer}");
             ask.exclusions = exclude
                 .iter()
-                .map(|i| TargetLife::from(&*format!("t{i}")))
+                .map(|i| TargetInstance::from(&*format!("t{i}")))
                 .collect();
             ask.max_tokens = u32::from(*max_tokens);
             ask.prompt_tokens = if *long {
@@ -324,7 +327,7 @@
                 .filter(|t| t.state == TargetState::Live);
             if live
                 .clone()
-                .any(|t| !ask.exclusions.contains(&TargetLife::of(t)))
+                .any(|t| !ask.exclusions.contains(&TargetInstance::of(t)))
             {
                 model.arrive(ask.clone());
             }
--- a/crates/lilaccrank/tests/suite/guarded_store.rs
+++ b/crates/lilaccrank/tests/suite/guarded_store.rs
@@ -1,4 +1,4 @@
-//! Many clients of a store that goes away and comes back.
+//! Tests of many clients during an outage of the store and after it.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,15 +20,15 @@
 const STEP: Duration = Duration::from_millis(10);
 const KEY: &str = "rules";
 
-/// What the store saw, and when the last client got through.
+/// Calls that the store received, and the time until all clients had recovered.
 #[derive(Debug)]
-struct Seen {
-    busiest_100_ms_after: usize,
+struct OutageReport {
+    peak_calls_per_100_ms: usize,
     calls_in_outage: usize,
     recovered_after: Duration,
 }
 
-/// Reads once a second, and after a failure every 100 ms.
+/// Reads once per second, or every 100 ms after a failure.
 async fn poll<S: Store>(store: S, clock: PausedClock, last_read: Rc<Cell<Duration>>) {
     loop {
         let wait = match store.get(KEY).await {
@@ -42,7 +42,7 @@
     }
 }
 
-fn outage<S: Store>(guard: impl Fn(FakeStore, PausedClock) -> S) -> Seen {
+fn simulate_outage<S: Store>(guard: impl Fn(FakeStore, PausedClock) -> S) -> OutageReport {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     let mut pool = LocalPool::new();
@@ -57,26 +57,26 @@
         );
         pool.spawner().spawn_local(work).expect("the pool runs");
     }
-    // All in step, as daemons are that saw one event or were started together.
+    // All clients poll in step, like daemons that reacted to one event or started together.
     advance(&mut pool, &clock, Duration::from_secs(5));
-    store.faults.away.set(true);
+    store.faults.unavailable.set(true);
     store.faults.calls.borrow_mut().clear();
     advance(&mut pool, &clock, OUTAGE);
     let calls_in_outage = store.faults.calls.take().len();
-    store.faults.away.set(false);
-    let back = clock.elapsed();
+    store.faults.unavailable.set(false);
+    let recovered_at = clock.elapsed();
     advance(&mut pool, &clock, Duration::from_millis(100));
-    while last_reads.iter().any(|read| read.get() < back) {
+    while last_reads.iter().any(|read| read.get() < recovered_at) {
         advance(&mut pool, &clock, STEP);
     }
-    Seen {
-        busiest_100_ms_after: busiest_100_ms(&store.faults.calls.borrow()),
+    OutageReport {
+        peak_calls_per_100_ms: max_calls_per_100_ms(&store.faults.calls.borrow()),
         calls_in_outage,
-        recovered_after: clock.elapsed() - back,
+        recovered_after: clock.elapsed() - recovered_at,
     }
 }
 
-fn busiest_100_ms(calls: &[Duration]) -> usize {
+fn max_calls_per_100_ms(calls: &[Duration]) -> usize {
     let window = Duration::from_millis(100);
     let count = |first: &Duration| {
         let in_window = calls
@@ -95,16 +95,17 @@
     }
 }
 
-// The store is away for a minute and 64 daemons go on asking. Unguarded, they ask ten times a
-// second each and all meet the store in the first tenth of a second of its return, which can
-// throw it down again. Guarded, each tries now and then, at its own time.
+// The store is unavailable for a minute while 64 clients keep polling. Unguarded, each calls ten
+// times per second, and all calls reach the recovered store within 100 ms, which can overload it
+// again. Guarded clients call rarely and not in step.
 #[test]
-fn returning_store_meets_no_stampede() {
-    let unguarded = outage(|store, _| store);
-    let guarded = outage(|store, clock| GuardedStore::new(Settings::default(), store, clock));
+fn recovering_store_is_not_overloaded() {
+    let unguarded = simulate_outage(|store, _| store);
+    let guarded =
+        simulate_outage(|store, clock| GuardedStore::new(Settings::default(), store, clock));
     println!("unguarded {unguarded:?}\nguarded {guarded:?}");
     assert!(guarded.calls_in_outage * 10 < unguarded.calls_in_outage);
-    assert!(guarded.busiest_100_ms_after * 2 < unguarded.busiest_100_ms_after);
+    assert!(guarded.peak_calls_per_100_ms * 2 < unguarded.peak_calls_per_100_ms);
     assert!(guarded.recovered_after < Duration::from_secs(10));
 }
 
@@ -112,8 +113,8 @@
     GuardedStore::new(Settings::default(), store.clone(), clock.clone())
 }
 
-// The answer to a write is lost after it took effect. Sent again by the wrapper, the write would
-// conflict with itself and its caller would take its own publication for another's.
+// The answer to a write is lost after the write took effect. If the wrapper repeated the write, it
+// would conflict with itself and the caller would take its own publication for another's.
 #[test]
 fn write_without_answer_is_not_repeated() {
     let clock = PausedClock::new();
@@ -125,14 +126,14 @@
     assert_eq!(store.faults.calls.borrow().len(), 1);
 }
 
-// The store goes silent: connections stand but no answer comes. Each call must end in its time,
-// and after a few the rest must fail at once as "no effect", so that callers can refuse what
-// needs the store instead of waiting for it.
+// The store accepts connections but does not answer. Each call must time out. After a few of them
+// further calls must fail at once and without effect, so that callers can refuse requests that
+// need the store instead of waiting for it.
 #[test]
 fn silent_store_opens_the_circuit() {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
-    store.faults.silent.set(true);
+    store.faults.unresponsive.set(true);
     let client = guarded(&store, &clock);
     let mut pool = LocalPool::new();
     for _ in 0..4 {
@@ -149,14 +150,14 @@
     assert_eq!(store.faults.calls.borrow().len(), 4);
 }
 
-// The call that tries a half-open circuit is a watch of an object that never changes. For as long
-// as it waits nothing else is let through, though the store is there again.
+// The trial call is a watch on an object that never changes. While it waits, all other calls are
+// rejected although the store has recovered, so the wait must be short.
 #[test]
 fn watch_as_trial_keeps_the_circuit_half_open_briefly() {
     let clock = PausedClock::new();
     let store = FakeStore::new(clock.clone());
     let client = guarded(&store, &clock);
-    store.faults.away.set(true);
+    store.faults.unavailable.set(true);
     let mut pool = LocalPool::new();
     let reader = client.clone();
     let reads = async move {
@@ -167,7 +168,7 @@
     pool.spawner().spawn_local(reads).expect("the pool runs");
     advance(&mut pool, &clock, Duration::from_secs(20));
     let watcher = client.clone();
-    store.faults.away.set(false);
+    store.faults.unavailable.set(false);
     let watch = async move { drop(watcher.watch(KEY, None, Duration::from_secs(60)).await) };
     pool.spawner().spawn_local(watch).expect("the pool runs");
     advance(&mut pool, &clock, Duration::from_secs(1));
--- a/crates/lilaccrankd/src/callers/native_protocol.rs
+++ b/crates/lilaccrankd/src/callers/native_protocol.rs
@@ -5,7 +5,7 @@
 use hyper::header::AUTHORIZATION;
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Response};
-use lilaccrank::error_kind::Ran;
+use lilaccrank::error_kind::Executed;
 use lilaccrank_http::body::Body;
 
 use crate::callers::auth;
@@ -33,7 +33,7 @@
 
     /// Returns an `error` event, which tells callers that read events why the answer broke off.
     fn error_chunk(&self, refusal: &Refusal) -> Option<Bytes> {
-        let json = refusal.clone().ran(Ran::Maybe).json();
+        let json = refusal.clone().ran(Executed::Maybe).json();
         Some(format!("event: error\ndata: {json}\n\n").into())
     }
 
--- a/crates/lilaccrankd/src/request/key_state.rs
+++ b/crates/lilaccrankd/src/request/key_state.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, SystemTime};
 
-use lilaccrank::error_kind::Ran;
+use lilaccrank::error_kind::Executed;
 use lilaccrank::request_key;
 use lilaccrank::request_key::{
     BodyDigest, Claim, ClaimRequest, Claimed, Claims, Error, Marked, MemberRef, Outcome,
@@ -61,7 +61,7 @@
         }
         // A daemon that has just died may have run the first attempt of a repeated request. While
         // the keeper cannot tell, "not run" would be wrong.
-        Err(e @ Error::Unsettled) => Err(refusal(&e).ran(Ran::Maybe)),
+        Err(e @ Error::Unsettled) => Err(refusal(&e).ran(Executed::Maybe)),
         Err(e) => Err(refusal(&e)),
     }
 }
--- a/crates/lilaccrankd/src/request/send.rs
+++ b/crates/lilaccrankd/src/request/send.rs
@@ -11,7 +11,7 @@
 use lilaccrank::attempts::Failure;
 use lilaccrank::dispatch::message::{Outcome, ReportKind};
 use lilaccrank::document::Target;
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank::stream_progress::StreamProgress;
 use lilaccrank::timeline::EventKind;
 use lilaccrank_http::client;
@@ -155,7 +155,7 @@
         };
         let interrupted = async {
             let refusal = self.interrupted(daemon, buffer).await;
-            SendError::from(failed(refusal.ran(Ran::Maybe)))
+            SendError::from(failed(refusal.ran(Executed::Maybe)))
         };
         let restarted = async {
             daemon
@@ -253,7 +253,7 @@
         self.tokens.set(self.tokens.get() + self.tokens_in_event);
         let now = Instant::now();
         let mut stream_progress = self.stream_progress.get();
-        stream_progress.received(self.tokens_in_event, now);
+        stream_progress.record_tokens(self.tokens_in_event, now);
         self.stream_progress.set(stream_progress);
         if first {
             self.first_token(since_sent);
@@ -276,7 +276,7 @@
         Ok(()) => Outcome::Complete,
         Err(SendError::Migrated(_)) => Outcome::Cancelled,
         Err(SendError::Failed(failed)) => match failed {
-            failed if failed.refusal.kind.is_from_outside() => Outcome::Cancelled,
+            failed if failed.refusal.kind.is_unrelated_to_target() => Outcome::Cancelled,
             failed if failed.refusal.kind == ErrorKind::NoTarget => Outcome::Unused,
             failed if failed.answer.is_some() => Outcome::Erred,
             failed if failed.failure == Failure::NotRun => Outcome::Erred,
@@ -288,8 +288,8 @@
 /// Failure of a send with this refusal. If the refusal says "not run", nothing reached the target.
 fn failed(refusal: Refusal) -> SendFailure {
     let failure = match refusal.ran {
-        Ran::No => Failure::Unsent,
-        Ran::Maybe => Failure::Failed,
+        Executed::No => Failure::Unsent,
+        Executed::Maybe => Failure::Failed,
     };
     SendFailure {
         answer: None,
@@ -304,7 +304,7 @@
 /// hold a slot that no longer exists.
 fn target_restarted(buffer: &AnswerBuffer) -> SendFailure {
     let refusal = Refusal::new(ErrorKind::TargetFailed, "the target has started again");
-    let mut lost = failed(refusal.ran(Ran::Maybe).connection_lost());
+    let mut lost = failed(refusal.ran(Executed::Maybe).connection_lost());
     if buffer.has_head() {
         lost.failure = Failure::BrokenOff;
     }
--- a/crates/lilaccrankd/src/targets/live_list.rs
+++ b/crates/lilaccrankd/src/targets/live_list.rs
@@ -16,7 +16,7 @@
 use lilaccrank::clock::{BootTime, Clock};
 use lilaccrank::document::{Pool, Target, TargetState};
 use lilaccrank::ids::{PoolId, TargetId, VmId};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 use lilaccrank_http::monoio_clock::MonoioClock;
 use serde::{Deserialize, Serialize};
 
@@ -123,14 +123,14 @@
 
     /// A target of the list.
     #[must_use]
-    pub fn find(&self, pool: &str, instance: &TargetLife) -> Option<Target> {
+    pub fn find(&self, pool: &str, instance: &TargetInstance) -> Option<Target> {
         let listing = self.listing.borrow();
         let lapsed = self.lapsed.borrow();
         let listed = listing.targets.get(pool).into_iter().flatten();
         let lapsed = lapsed.get(&instance.id).map(|(_, target)| target);
         let mut known = listed.chain(lapsed);
         known
-            .find(|target| TargetLife::of(target) == *instance)
+            .find(|target| TargetInstance::of(target) == *instance)
             .cloned()
     }
 
@@ -144,11 +144,11 @@
     fn is_superseded(&self, target: &Target) -> bool {
         self.instances
             .borrow()
-            .is_superseded(&TargetLife::of(target))
+            .is_superseded(&TargetInstance::of(target))
     }
 
     /// Completes once a later life of the same target is heard of.
-    pub async fn superseded(&self, instance: &TargetLife) {
+    pub async fn superseded(&self, instance: &TargetInstance) {
         while !self.instances.borrow().is_superseded(instance) {
             let listener = self.updated.listen();
             if !self.instances.borrow().is_superseded(instance) {
@@ -203,7 +203,7 @@
 
 /// Takes over a list that the daemon was told.
 pub fn apply_listing(daemon: &Rc<Daemon>, listing: Listing) {
-    let may_lapse = daemon.heard.may_lapse(MonoioClock.boot());
+    let may_lapse = daemon.heard.may_lapse(MonoioClock.boot_time());
     let previous = daemon.live_list.listing();
     if !daemon.live_list.update(listing, may_lapse) {
         return;
@@ -212,7 +212,7 @@
         .all()
         .filter(|(_, target)| daemon.live_list.is_superseded(target))
     {
-        log::info!(born = ended.born, target_id = ended.id; "a target has started again");
+        log::info!(born = ended.started_ms, target_id = ended.id; "a target has started again");
         daemon.client.forget(&ended.address);
     }
     let unusable = daemon.live_list.listing().unusable.len();
@@ -226,7 +226,7 @@
 
 async fn wait_for_lapsed(daemon: Rc<Daemon>) {
     // Other daemons' words may tell of a later end of the silence than this one's own.
-    while daemon.heard.may_lapse(MonoioClock.boot()) {
+    while daemon.heard.may_lapse(MonoioClock.boot_time()) {
         monoio::time::sleep(LAPSED_POLL_INTERVAL).await;
     }
     if daemon.live_list.forget_lapsed() {
--- a/crates/lilaccrankd/src/targets/newest_instances.rs
+++ b/crates/lilaccrankd/src/targets/newest_instances.rs
@@ -7,8 +7,8 @@
 
 use indexmap::{IndexMap, IndexSet};
 use lilaccrank::document::Target;
-use lilaccrank::ids::{Born, TargetId};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::ids::{StartTimeMs, TargetId};
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::targets::live_list::Listing;
 
@@ -19,14 +19,14 @@
 /// The newest life of each target that was heard of.
 #[derive(Debug, Default)]
 pub struct NewestInstances {
-    newest: IndexMap<TargetId, Born>,
+    newest: IndexMap<TargetId, StartTimeMs>,
 }
 
 impl NewestInstances {
     /// Whether a later life of the same target was heard of.
     #[must_use]
-    pub fn is_superseded(&self, instance: &TargetLife) -> bool {
-        self.newest.get(&instance.id) > Some(&instance.born)
+    pub fn is_superseded(&self, instance: &TargetInstance) -> bool {
+        self.newest.get(&instance.id) > Some(&instance.started_ms)
     }
 
     /// Names that are remembered.
@@ -51,20 +51,21 @@
         }
         for (_, target) in listing.all() {
             let newest = self.newest.entry(target.id.clone()).or_default();
-            *newest = target.born.max(*newest);
+            *newest = target.started_ms.max(*newest);
         }
         self.forget(listing);
     }
 
     fn resolved(&self, pool: &str, target: Target, known: &Listing) -> Option<Target> {
-        let instance = TargetLife::of(&target);
+        let instance = TargetInstance::of(&target);
         if !self.is_superseded(&instance) {
             return Some(target);
         }
         let mut later = known.targets.get(pool).into_iter().flatten();
-        let later = later.find(|later| later.id == instance.id && later.born > instance.born);
+        let later =
+            later.find(|later| later.id == instance.id && later.started_ms > instance.started_ms);
         log::info!(
-            born = instance.born,
+            born = instance.started_ms,
             kept = later.is_some(),
             target_id = instance.id;
             "an earlier life of a target was heard late"
