--- a/crates/lilaccrank/src/request_key/claims.rs
+++ b/crates/lilaccrank/src/request_key/claims.rs
@@ -77,7 +77,7 @@
 
     /// Says if the request may have been sent to a target.
     #[must_use]
-    pub fn ran(&self) -> Executed {
+    pub fn executed(&self) -> Executed {
         self.kind().response().executed
     }
 }
--- a/crates/lilaccrank/src/request_key/owner.rs
+++ b/crates/lilaccrank/src/request_key/owner.rs
@@ -341,10 +341,10 @@
     }
 
     pub(super) fn wall_ms(&self) -> u64 {
-        let wall = self.inner.clock.wall_time();
-        let since = wall.duration_since(SystemTime::UNIX_EPOCH);
-        since.map_or(0, |wall| {
-            u64::try_from(wall.as_millis()).unwrap_or(u64::MAX)
+        let wall_time = self.inner.clock.wall_time();
+        let since = wall_time.duration_since(SystemTime::UNIX_EPOCH);
+        since.map_or(0, |wall_time| {
+            u64::try_from(wall_time.as_millis()).unwrap_or(u64::MAX)
         })
     }
 }
--- a/crates/lilaccrank/tests/suite/request_key/failures.rs
+++ b/crates/lilaccrank/tests/suite/request_key/failures.rs
@@ -194,7 +194,10 @@
     let cluster = Cluster::new(3);
     cluster.lose(Loss::Copies);
     let refusal = refused(cluster.claim(2, &request(true))).unwrap();
-    assert_eq!((refusal, refusal.ran()), (Error::Unsettled, Executed::No));
+    assert_eq!(
+        (refusal, refusal.executed()),
+        (Error::Unsettled, Executed::No)
+    );
     cluster.lose(Loss::Nothing);
     cluster.run(cluster.daemons[2].claims.sweep());
     let _running = cluster.marked(1, &request(true));
@@ -208,7 +211,10 @@
     let claim = cluster.granted(2, &request(true));
     cluster.lose(Loss::Replies);
     let refusal = cluster.run(claim.mark_dispatching()).err().unwrap();
-    assert_eq!((refusal, refusal.ran()), (Error::Unsettled, Executed::No));
+    assert_eq!(
+        (refusal, refusal.executed()),
+        (Error::Unsettled, Executed::No)
+    );
     cluster.lose(Loss::Nothing);
     cluster.run(cluster.daemons[2].claims.sweep());
     let _running = cluster.marked(1, &request(true));
@@ -348,7 +354,7 @@
     let mut other = request(true);
     other.key = "another".to_owned();
     let refusal = refused(cluster.claim(2, &other)).unwrap();
-    assert_eq!((refusal, refusal.ran()), (Error::Full, Executed::No));
+    assert_eq!((refusal, refusal.executed()), (Error::Full, Executed::No));
     let repeat = cluster.claim(1, &request(true));
     assert!(matches!(repeat, Ok(Access::Running { .. })));
 }
--- a/crates/lilaccrank/tests/suite/request_key/store_failures.rs
+++ b/crates/lilaccrank/tests/suite/request_key/store_failures.rs
@@ -47,7 +47,7 @@
     cluster.store.fault.set(Some(Fault::Away));
     let before = cluster.clock.elapsed();
     let refusal = cluster.run(claim.mark_dispatching()).err().unwrap();
-    assert_eq!(refusal.ran(), Executed::No);
+    assert_eq!(refusal.executed(), Executed::No);
     assert_eq!(cluster.clock.elapsed(), before);
 }
 
@@ -117,7 +117,10 @@
         request.key = index.to_string();
         let claim = cluster.granted(2, &request);
         if let Err(refusal) = cluster.run(claim.mark_dispatching()) {
-            assert_eq!((refusal, refusal.ran()), (Error::RateLimited, Executed::No));
+            assert_eq!(
+                (refusal, refusal.executed()),
+                (Error::RateLimited, Executed::No)
+            );
             refused += 1;
         }
     }
--- a/crates/lilaccrankd/src/request/key_state.rs
+++ b/crates/lilaccrankd/src/request/key_state.rs
@@ -147,5 +147,5 @@
 }
 
 fn refusal(e: &Error) -> Refusal {
-    Refusal::new(e.kind(), e.to_string()).ran(e.ran())
+    Refusal::new(e.kind(), e.to_string()).ran(e.executed())
 }
