--- a/crates/lilaccrank/src/request_key.rs
+++ b/crates/lilaccrank/src/request_key.rs
@@ -15,8 +15,8 @@
 //! - In a network partition, two groups of daemons in one data centre may each consider the other
 //!   dead and own the key independently. Only the claim in the store holds across such a
 //!   partition.
-//! - An error of [`Claims`] with [`Executed::No`] refers to the refused attempt. Repeating the request
-//!   with the same key is always safe.
+//! - An error of [`Claims`] with [`Executed::No`] refers to the refused attempt. Repeating the
+//!   request with the same key is always safe.
 //!
 //! To embed request keys, serve [`KeyOwner::handle`] to the other daemons, run [`KeyOwner::run`]
 //! and [`Claims::sweep_every`] as tasks, and claim the key of each request by [`Claims::claim`].
