--- a/crates/lilaccrank/benches/decision.rs
+++ b/crates/lilaccrank/benches/decision.rs
@@ -8,7 +8,7 @@
 use futures::StreamExt;
 use futures::future::LocalBoxFuture;
 use futures::stream::FuturesUnordered;
-use lilaccrank::dispatch::message::{Ask, Grant, Outcome, Report, ReportKind, Verdict};
+use lilaccrank::dispatch::message::{Grant, Outcome, Report, ReportKind, Submission, Verdict};
 use lilaccrank::dispatch::{Config, Dispatcher};
 use lilaccrank::document::{Pool, Target};
 use lilaccrank::paused_clock::PausedClock;
@@ -27,7 +27,7 @@
 
 /// A pool whose targets are full and whose queue holds a constant number of asks.
 struct SaturatedPool {
-    asks: FuturesUnordered<LocalBoxFuture<'static, Verdict>>,
+    submissions: FuturesUnordered<LocalBoxFuture<'static, Verdict>>,
     clock: PausedClock,
     dispatcher: Dispatcher<PausedClock>,
     next: usize,
@@ -36,11 +36,11 @@
     running: VecDeque<Grant>,
 }
 
-fn ask(i: usize) -> Ask {
+fn submission(i: usize) -> Submission {
     let customer = i % CUSTOMERS;
     let prompt = [customer as u8; 1024];
-    Ask {
-        ask: 1,
+    Submission {
+        submission: 1,
         customer: format!("customer{customer}"),
         deadline: Some(DEADLINE),
         entry: "vm2".to_owned(),
@@ -51,7 +51,7 @@
         request: format!("r{i}"),
         tier: (i % TIERS) as u8,
         weight: 1,
-        ..Ask::default()
+        ..Submission::default()
     }
 }
 
@@ -79,7 +79,7 @@
         };
         let clock = PausedClock::new();
         let mut saturated = Self {
-            asks: FuturesUnordered::new(),
+            submissions: FuturesUnordered::new(),
             dispatcher: Dispatcher::new(clock.clone(), cfg),
             clock,
             next: 0,
@@ -87,22 +87,22 @@
             running: VecDeque::new(),
         };
         saturated.dispatcher.set_targets(&pool, DATA_CENTRE);
-        while saturated.asks.len() < waiting {
+        while saturated.submissions.len() < waiting {
             saturated.arrive();
         }
         saturated
     }
 
     fn arrive(&mut self) {
-        let (dispatcher, ask) = (self.dispatcher.clone(), ask(self.next));
+        let (dispatcher, submission) = (self.dispatcher.clone(), submission(self.next));
         self.next += 1;
-        let call = async move { dispatcher.ask(ask).await };
-        self.asks.push(call.boxed_local());
+        let call = async move { dispatcher.submit(submission).await };
+        self.submissions.push(call.boxed_local());
         self.collect();
     }
 
     fn collect(&mut self) {
-        while let Some(Some(verdict)) = self.asks.next().now_or_never() {
+        while let Some(Some(verdict)) = self.submissions.next().now_or_never() {
             match verdict {
                 Verdict::Grant(grant) => self.running.push_back(grant),
                 Verdict::Refuse(refuse) => panic!("refused below the queue limit: {refuse:?}"),
@@ -117,7 +117,7 @@
             panic!("no request is running");
         };
         self.dispatcher.report(&Report {
-            ask: 1,
+            submission: 1,
             kind: ReportKind::Ended {
                 decoded: 100,
                 outcome: Outcome::Complete,
--- a/crates/lilaccrank/src/dispatch.rs
+++ b/crates/lilaccrank/src/dispatch.rs
@@ -47,7 +47,9 @@
 
 use admission::Admission;
 use message::Verdict;
-use message::{Ask, AskNumber, CacheEvent, Cancel, Entry, LoadReport, Refuse, Report, Resync};
+use message::{
+    CacheEvent, Cancel, Entry, LoadReport, Refuse, Report, Resync, Submission, SubmissionNumber,
+};
 use rate_limit::Share;
 use sharing::Digest;
 use state::{State, WaiterId};
@@ -97,15 +99,15 @@
     /// Submits an ask and waits for its verdict. Dropping the future cancels the ask. A repeated
     /// ask with a higher number replaces the earlier one; one with the same number gets the same
     /// verdict.
-    pub async fn ask(&self, ask: Ask) -> Verdict {
-        let (request, number) = (ask.request.clone(), ask.ask);
-        let admission = self.state.borrow_mut().ask(ask, self.clock.now());
+    pub async fn submit(&self, submission: Submission) -> Verdict {
+        let (request, number) = (submission.request.clone(), submission.submission);
+        let admission = self.state.borrow_mut().submit(submission, self.clock.now());
         let (id, rx) = match admission {
             Admission::Decided(verdict) => return verdict,
             Admission::Queued(id, rx) => (id, rx),
         };
         let mut guard = Guard {
-            ask: number,
+            submission: number,
             dispatcher: self,
             id,
             request,
@@ -118,7 +120,7 @@
         guard.rx = None;
         verdict.unwrap_or_else(|| {
             Verdict::Refuse(Refuse {
-                ask: number,
+                submission: number,
                 kind: ErrorKind::Cancelled,
                 request: guard.request.clone(),
                 retry_after: None,
@@ -131,7 +133,7 @@
     pub fn cancel(&self, cancel: &Cancel) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        state.cancel(&cancel.request, cancel.ask, now);
+        state.cancel(&cancel.request, cancel.submission, now);
     }
 
     /// Processes an entry daemon's report on a granted request.
@@ -244,7 +246,7 @@
 /// Without it, the ask of a caller that has disconnected would still be granted, and would occupy a
 /// slot for a request that nobody sends.
 struct Guard<'a, C: Clock> {
-    ask: AskNumber,
+    submission: SubmissionNumber,
     dispatcher: &'a Dispatcher<C>,
     id: WaiterId,
     request: RequestId,
@@ -259,7 +261,7 @@
         let now = self.dispatcher.clock.now();
         let mut state = self.dispatcher.state.borrow_mut();
         match rx.try_recv() {
-            Ok(Some(Verdict::Grant(_))) => state.cancel(&self.request, self.ask, now),
+            Ok(Some(Verdict::Grant(_))) => state.cancel(&self.request, self.submission, now),
             _ => state.abandon(&self.request, self.id, now),
         }
     }
--- a/crates/lilaccrank/src/dispatch/admission.rs
+++ b/crates/lilaccrank/src/dispatch/admission.rs
@@ -6,7 +6,7 @@
 
 use super::choice::{self, Occupancy};
 use super::limits::{self, CounterKey};
-use super::message::{Ask, AskNumber, Refuse, Unmeetable, Verdict};
+use super::message::{Refuse, Submission, SubmissionNumber, Unmeetable, Verdict};
 use super::state::{self, State, Waiter, WaiterId};
 use crate::error_kind::ErrorKind;
 use crate::prompt;
@@ -22,30 +22,36 @@
 
 impl State {
     /// Decides an ask at once if possible, and enqueues it otherwise.
-    pub(super) fn ask(&mut self, mut ask: Ask, now: Instant) -> Admission {
-        ask.exclusions.truncate(EXCLUSIONS_LIMIT);
-        self.tiers.record_request(ask.tier, ask.objective, now);
-        ask.prefix.truncate(prompt::MAX_PREFIX_BLOCKS);
+    pub(super) fn submit(&mut self, mut submission: Submission, now: Instant) -> Admission {
+        submission.exclusions.truncate(EXCLUSIONS_LIMIT);
+        self.tiers
+            .record_request(submission.tier, submission.objective, now);
+        submission.prefix.truncate(prompt::MAX_PREFIX_BLOCKS);
         let waiting = self
             .waiting
-            .get(&ask.request)
-            .map(|waiting| waiting.ask.ask);
-        let granted = self.active_grants.get(&ask.request).map(|grant| grant.ask);
+            .get(&submission.request)
+            .map(|waiting| waiting.submission.submission);
+        let granted = self
+            .active_grants
+            .get(&submission.request)
+            .map(|grant| grant.submission);
         let newest = waiting.max(granted);
-        if newest > Some(ask.ask) {
-            return Admission::Decided(state::refuse(&ask, ErrorKind::Cancelled, None));
+        if newest > Some(submission.submission) {
+            return Admission::Decided(state::refuse(&submission, ErrorKind::Cancelled, None));
         }
-        if waiting == Some(ask.ask) {
-            return self.attach(&ask.request);
+        if waiting == Some(submission.submission) {
+            return self.attach(&submission.request);
         }
-        if granted == Some(ask.ask) {
-            return Admission::Decided(self.grant_verdict(&ask.request, ask.ask));
+        if granted == Some(submission.submission) {
+            return Admission::Decided(
+                self.grant_verdict(&submission.request, submission.submission),
+            );
         }
-        let counter_key = self.supersede(&ask.request, now);
-        match self.admit(&ask, counter_key, now) {
+        let counter_key = self.supersede(&submission.request, now);
+        match self.admit(&submission, counter_key, now) {
             Ok(counter_key) => {
-                let request = ask.request.clone();
-                self.enqueue(ask, counter_key, now);
+                let request = submission.request.clone();
+                self.enqueue(submission, counter_key, now);
                 let admission = self.attach(&request);
                 // Dispatch before shedding: an ask that is granted at once takes no place in the
                 // queue.
@@ -58,14 +64,18 @@
     }
 
     /// Cancels the ask with this number and all earlier ones of the request, waiting or granted.
-    pub(super) fn cancel(&mut self, request: &str, ask: AskNumber, now: Instant) {
-        if self.waiting.get(request).is_some_and(|w| w.ask.ask <= ask) {
+    pub(super) fn cancel(&mut self, request: &str, submission: SubmissionNumber, now: Instant) {
+        if self
+            .waiting
+            .get(request)
+            .is_some_and(|w| w.submission.submission <= submission)
+        {
             self.refuse(request, ErrorKind::Cancelled, None);
         }
         if self
             .active_grants
             .get(request)
-            .is_some_and(|r| r.ask <= ask)
+            .is_some_and(|r| r.submission <= submission)
         {
             self.release(request, now);
         }
@@ -90,9 +100,11 @@
         if let Some(waiting) = self.waiting.get_mut(request) {
             let earlier = waiting.waiter.replace(Waiter { id, tx });
             if let Some(earlier) = earlier {
-                let _ = earlier
-                    .tx
-                    .send(state::refuse(&waiting.ask, ErrorKind::Cancelled, None));
+                let _ = earlier.tx.send(state::refuse(
+                    &waiting.submission,
+                    ErrorKind::Cancelled,
+                    None,
+                ));
             }
         }
         Admission::Queued(id, rx)
@@ -112,11 +124,11 @@
 
     fn admit(
         &mut self,
-        ask: &Ask,
+        submission: &Submission,
         counter_key: Option<CounterKey>,
         now: Instant,
     ) -> Result<Option<CounterKey>, Refuse> {
-        let refusal = self.check_feasibility(ask, now);
+        let refusal = self.check_feasibility(submission, now);
         if let Some(refusal) = refusal {
             if let Some(counter_key) = counter_key {
                 self.limits.release(&counter_key);
@@ -126,30 +138,30 @@
         if counter_key.is_some() {
             return Ok(counter_key);
         }
-        self.limits.acquire(ask, now).map_err(|err| {
+        self.limits.acquire(submission, now).map_err(|err| {
             let limits::Error::Reached { retry_after } = err;
-            state::refusal_of(ask, ErrorKind::RateLimited, Some(retry_after))
+            state::refusal_of(submission, ErrorKind::RateLimited, Some(retry_after))
         })
     }
 
     /// Returns `true` if an ask with an objective would most likely time out in the queue, see
     /// [`super::wait_outcomes`]. Asks of the first tier always wait, since they get every slot that
     /// becomes free.
-    fn is_tier_starved(&self, ask: &Ask, now: Instant) -> bool {
-        if ask.objective.is_none()
-            || ask.partial.is_some()
-            || self.tiers.count_before(ask.tier) == 0
+    fn is_tier_starved(&self, submission: &Submission, now: Instant) -> bool {
+        if submission.objective.is_none()
+            || submission.partial.is_some()
+            || self.tiers.count_before(submission.tier) == 0
         {
             return false;
         }
-        if !self.wait_outcomes.mostly_time_out(ask.tier, now) {
+        if !self.wait_outcomes.mostly_time_out(submission.tier, now) {
             return false;
         }
         let has_waiter_in_tier = self
             .queue
             .priorities()
-            .any(|priority| priority.tier == ask.tier);
-        let needs = self.needs(ask, ask.deadline);
+            .any(|priority| priority.tier == submission.tier);
+        let needs = self.needs(submission, submission.deadline);
         has_waiter_in_tier
             && !choice::any_eligible(
                 &self.targets,
@@ -159,26 +171,28 @@
             )
     }
 
-    fn check_feasibility(&mut self, ask: &Ask, now: Instant) -> Option<Refuse> {
+    fn check_feasibility(&mut self, submission: &Submission, now: Instant) -> Option<Refuse> {
         if self.handover.is_some() {
             return None;
         }
         let mut live = self.targets.values().filter(|target| target.live);
-        if live.all(|target| ask.exclusions.contains(&target.life)) {
+        if live.all(|target| submission.exclusions.contains(&target.life)) {
             let retry = Some(self.drain.retry_after(0, 0.0, now));
-            return Some(state::refusal_of(ask, ErrorKind::NoTarget, retry));
+            return Some(state::refusal_of(submission, ErrorKind::NoTarget, retry));
         }
-        let unmeetable = if self.is_infeasible(ask, now) {
+        let unmeetable = if self.is_infeasible(submission, now) {
             Unmeetable::Infeasible
-        } else if self.is_tier_starved(ask, now) {
+        } else if self.is_tier_starved(submission, now) {
             Unmeetable::TierStarved
         } else {
             return None;
         };
-        self.record_outcome(ask, false);
-        let priority = state::priority(ask);
-        let work_ahead = self.queue.work_ahead(priority, &ask.customer, ask.weight);
+        self.record_outcome(submission, false);
+        let priority = state::priority(submission);
+        let work_ahead = self
+            .queue
+            .work_ahead(priority, &submission.customer, submission.weight);
         let retry = self.retry_after_work(work_ahead, now);
-        Some(state::refusal_of(ask, unmeetable, Some(retry)))
+        Some(state::refusal_of(submission, unmeetable, Some(retry)))
     }
 }
--- a/crates/lilaccrank/src/dispatch/deadline.rs
+++ b/crates/lilaccrank/src/dispatch/deadline.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use super::choice::{self, Occupancy, Requirements};
-use super::message::Ask;
+use super::message::Submission;
 use super::state::{self, State};
 use super::work::Work;
 
@@ -26,28 +26,30 @@
     /// Returns `true` if no target can meet the ask's deadline after the work ahead of it. Work of
     /// lower tiers is ignored: it would be overtaken, and a refusal because of it would be a
     /// priority inversion.
-    pub(super) fn is_infeasible(&mut self, ask: &Ask, now: Instant) -> bool {
-        let Some(left) = ask.deadline else {
+    pub(super) fn is_infeasible(&mut self, submission: &Submission, now: Instant) -> bool {
+        let Some(left) = submission.deadline else {
             return false;
         };
         let left = left.as_secs_f64();
         self.refresh_capacity(now);
-        let needs = self.needs(ask, ask.deadline);
+        let needs = self.needs(submission, submission.deadline);
         if !self.can_meet(&needs, left, now) {
             return true;
         }
         // A resumed answer goes ahead of the waiting asks of its tier.
-        if ask.partial.is_some() {
+        if submission.partial.is_some() {
             return false;
         }
         // The backlog up to and including the own priority is an upper bound for the work ahead,
         // and cheap to compute.
-        let priority = state::priority(ask);
+        let priority = state::priority(submission);
         let upper_bound = self.queue.work_up_to(priority);
         if self.can_meet(&needs, left - self.min_drain_time(upper_bound), now) {
             return false;
         }
-        let work_ahead = self.queue.work_ahead(priority, &ask.customer, ask.weight);
+        let work_ahead = self
+            .queue
+            .work_ahead(priority, &submission.customer, submission.weight);
         if self.can_meet(&needs, left - self.min_drain_time(work_ahead), now) {
             return false;
         }
--- a/crates/lilaccrank/src/dispatch/delay.rs
+++ b/crates/lilaccrank/src/dispatch/delay.rs
@@ -40,7 +40,7 @@
         let Some(waiting) = self.waiting.get(request) else {
             return false;
         };
-        if waiting.ask.prefix.is_empty() || choice::is_urgent(waiting.ask.tier) {
+        if waiting.submission.prefix.is_empty() || choice::is_urgent(waiting.submission.tier) {
             return false;
         }
         let previous = waiting.delayed.get();
--- a/crates/lilaccrank/src/dispatch/grants.rs
+++ b/crates/lilaccrank/src/dispatch/grants.rs
@@ -87,12 +87,12 @@
 
     /// Records a grant and its load on the target.
     pub(super) fn reserve(&mut self, waiting: &Waiting, choice: &Choice, now: Instant) {
-        let ask = &waiting.ask;
+        let submission = &waiting.submission;
         let Some(target) = self.targets.get_mut(&choice.target) else {
             return;
         };
         let remaining_work = Work {
-            decode: work(ask).decode,
+            decode: work(submission).decode,
             prefill: choice.prefill,
         };
         self.grant_sequence += 1;
@@ -109,28 +109,29 @@
         Self::note_load_change(&mut self.sharing, target, now);
         target.long_prefills += u32::from(long_prefill);
         let active_grant = ActiveGrant {
-            ask: ask.ask,
+            submission: submission.submission,
             began: false,
-            partial_tokens: ask.partial.map_or(0, |partial| partial.tokens),
+            partial_tokens: submission.partial.map_or(0, |partial| partial.tokens),
             prefill_ahead: target.estimate.outstanding().prefill,
             counter_key: waiting.counter_key.clone(),
             entry: Entry {
-                incarnation: ask.entry_incarnation,
-                vm: ask.entry.clone(),
+                incarnation: submission.entry_incarnation,
+                vm: submission.entry.clone(),
             },
             expected: Duration::try_from_secs_f64(choice.earliest_completion)
                 .unwrap_or(Duration::MAX),
             granted: now,
             remaining_work,
             long_prefill,
-            max_tokens: ask.max_tokens,
-            inflight: ask.prefix.clone(),
+            max_tokens: submission.max_tokens,
+            inflight: submission.prefix.clone(),
             target: choice.target.clone(),
-            tokens: work(ask).tokens(),
+            tokens: work(submission).tokens(),
             trial,
         };
-        self.inflight.add(&ask.prefix);
-        self.active_grants.insert(ask.request.clone(), active_grant);
+        self.inflight.add(&submission.prefix);
+        self.active_grants
+            .insert(submission.request.clone(), active_grant);
     }
 
     /// Grants an ask, or refuses it if the best target can't meet its deadline.
@@ -152,11 +153,12 @@
             return;
         };
         self.reserve(&waiting, &choice, now);
-        self.record_outcome(&waiting.ask, true);
-        if waiting.ask.partial.is_none() {
-            self.wait_outcomes.record_grant(waiting.ask.tier, now);
+        self.record_outcome(&waiting.submission, true);
+        if waiting.submission.partial.is_none() {
+            self.wait_outcomes
+                .record_grant(waiting.submission.tier, now);
         }
-        let verdict = self.grant_verdict(request, waiting.ask.ask);
+        let verdict = self.grant_verdict(request, waiting.submission.submission);
         if let Some(waiter) = waiting.waiter {
             // If the receiver has just been dropped, its guard cancels the grant.
             let _ = waiter.tx.send(verdict);
--- a/crates/lilaccrank/src/dispatch/limits.rs
+++ b/crates/lilaccrank/src/dispatch/limits.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::message::Ask;
+use super::message::Submission;
 use crate::backoff;
 use crate::document::Limit;
 use crate::ids::{CustomerId, RuleId};
@@ -68,11 +68,11 @@
 impl Limits {
     /// Counts a request against its limit; returns `None` if no limit applies, and an error with
     /// the time of a retry if the limit is reached.
-    pub fn acquire(&mut self, ask: &Ask, now: Instant) -> Result<Option<CounterKey>> {
-        let Some(limit) = ask.limit else {
+    pub fn acquire(&mut self, submission: &Submission, now: Instant) -> Result<Option<CounterKey>> {
+        let Some(limit) = submission.limit else {
             return Ok(None);
         };
-        let counter = self.counter(ask, limit, now);
+        let counter = self.counter(submission, limit, now);
         let max_in_progress = limit.concurrency.unwrap_or(u32::MAX);
         if counter.in_progress >= max_in_progress {
             let retry_after = CONCURRENCY_RETRY + backoff::full_jitter(CONCURRENCY_RETRY);
@@ -89,14 +89,14 @@
             counter.tokens -= 1.0;
         }
         counter.in_progress += 1;
-        Ok(Some(counter_key(ask, limit)))
+        Ok(Some(counter_key(submission, limit)))
     }
 
     /// Counts a request that another dispatcher has admitted, without checking the limit.
-    pub fn take_over(&mut self, ask: &Ask, now: Instant) -> Option<CounterKey> {
-        let limit = ask.limit?;
-        self.counter(ask, limit, now).in_progress += 1;
-        Some(counter_key(ask, limit))
+    pub fn take_over(&mut self, submission: &Submission, now: Instant) -> Option<CounterKey> {
+        let limit = submission.limit?;
+        self.counter(submission, limit, now).in_progress += 1;
+        Some(counter_key(submission, limit))
     }
 
     /// Ends a counted request.
@@ -106,14 +106,14 @@
         }
     }
 
-    fn counter(&mut self, ask: &Ask, limit: Limit, now: Instant) -> &mut Counter {
+    fn counter(&mut self, submission: &Submission, limit: Limit, now: Instant) -> &mut Counter {
         if self.counters.len() >= MAX_COUNTERS {
             self.counters.retain(|_, counter| counter.is_active(now));
         }
         let capacity = limit.rate_per_s.unwrap_or(0.0).max(1.0);
         let counter = self
             .counters
-            .entry(counter_key(ask, limit))
+            .entry(counter_key(submission, limit))
             .or_insert(Counter {
                 burst: capacity,
                 in_progress: 0,
@@ -126,9 +126,9 @@
     }
 }
 
-fn counter_key(ask: &Ask, limit: Limit) -> CounterKey {
+fn counter_key(submission: &Submission, limit: Limit) -> CounterKey {
     CounterKey {
-        customer: limit.per_customer.then(|| ask.customer.clone()),
-        rule: ask.rule.clone(),
+        customer: limit.per_customer.then(|| submission.customer.clone()),
+        rule: submission.rule.clone(),
     }
 }
--- a/crates/lilaccrank/src/dispatch/message.rs
+++ b/crates/lilaccrank/src/dispatch/message.rs
@@ -11,13 +11,14 @@
 use crate::target_instance::TargetInstance;
 
 /// Sequence number of the asks for one request; a grant of an earlier ask is void.
-pub type AskNumber = u64;
+pub type SubmissionNumber = u64;
 
 /// Ask for a slot on a target on behalf of one request.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct Ask {
+pub struct Submission {
     /// Number of this ask.
-    pub ask: AskNumber,
+    #[serde(rename = "ask")]
+    pub submission: SubmissionNumber,
     /// Part of the answer that the caller already has.
     #[serde(default)]
     pub partial: Option<PartialAnswer>,
@@ -66,7 +67,7 @@
     pub tokens: u32,
 }
 
-/// Answer to an [`Ask`].
+/// Answer to an [`Submission`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Verdict {
     /// The request may be sent once to the granted target.
@@ -79,7 +80,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Grant {
     /// Number of the answered ask; the grant is void if the entry daemon has asked again since.
-    pub ask: AskNumber,
+    #[serde(rename = "ask")]
+    pub submission: SubmissionNumber,
     /// VM of the dispatcher; the grant is void if another dispatcher was asked since.
     pub dispatcher: VmId,
     /// Incarnation of the dispatcher.
@@ -97,7 +99,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Refuse {
     /// Number of the refused ask.
-    pub ask: AskNumber,
+    #[serde(rename = "ask")]
+    pub submission: SubmissionNumber,
     /// Reason of the refusal.
     pub kind: ErrorKind,
     /// Id of the request.
@@ -133,7 +136,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Report {
     /// Number of the granted ask.
-    pub ask: AskNumber,
+    #[serde(rename = "ask")]
+    pub submission: SubmissionNumber,
     /// The reported event.
     pub kind: ReportKind,
     /// Id of the request.
@@ -190,7 +194,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Cancel {
     /// Number of the last ask to cancel; earlier ones are cancelled too.
-    pub ask: AskNumber,
+    #[serde(rename = "ask")]
+    pub submission: SubmissionNumber,
     /// Id of the request.
     pub request: RequestId,
 }
@@ -208,7 +213,8 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Running {
     /// The granted ask, with the length of the request.
-    pub ask: Ask,
+    #[serde(rename = "ask")]
+    pub submission: Submission,
     /// Number of tokens generated so far; `None` before the first.
     pub decoded: Option<u32>,
     /// Target that runs the request.
@@ -223,7 +229,7 @@
     /// Running requests.
     pub running: Vec<Running>,
     /// Waiting asks.
-    pub waiting: Vec<Ask>,
+    pub waiting: Vec<Submission>,
 }
 
 /// A target's report of its own load, which lags.
--- a/crates/lilaccrank/src/dispatch/overload.rs
+++ b/crates/lilaccrank/src/dispatch/overload.rs
@@ -14,9 +14,9 @@
         while let Some(request) = self.queue.expired(now).cloned() {
             let retry = self.retry_after(&request, now);
             if let Some(waiting) = self.waiting.get(&request)
-                && waiting.ask.partial.is_none()
+                && waiting.submission.partial.is_none()
             {
-                self.wait_outcomes.timed_out(waiting.ask.tier, now);
+                self.wait_outcomes.timed_out(waiting.submission.tier, now);
             }
             self.refuse(&request, Unmeetable::TimedOut, Some(retry));
         }
--- a/crates/lilaccrank/src/dispatch/queue.rs
+++ b/crates/lilaccrank/src/dispatch/queue.rs
@@ -125,11 +125,11 @@
     #[must_use]
     pub fn first_competing_priority(&self) -> Option<Priority> {
         let lanes = [Lane::Excluding, Lane::Long, Lane::Short];
-        let has_competing_ask = |priority: &Priority| {
+        let has_competing_submission = |priority: &Priority| {
             let mut lanes = lanes.into_iter();
             lanes.any(|lane| self.heads(*priority, lane).next().is_some())
         };
-        self.priorities().find(has_competing_ask)
+        self.priorities().find(has_competing_submission)
     }
 
     /// First ask of each customer in one lane, in fair order.
--- a/crates/lilaccrank/src/dispatch/queue_deadline.rs
+++ b/crates/lilaccrank/src/dispatch/queue_deadline.rs
@@ -9,7 +9,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::message::Ask;
+use super::message::Submission;
 use super::state::{self, State};
 use crate::ids::Tier;
 
@@ -24,18 +24,18 @@
 impl State {
     /// Returns the time at which the ask stops waiting, or `None` if it has no objective or another
     /// target still generates its answer.
-    pub(super) fn queue_deadline(&self, ask: &Ask, now: Instant) -> Option<Instant> {
-        if ask
+    pub(super) fn queue_deadline(&self, submission: &Submission, now: Instant) -> Option<Instant> {
+        if submission
             .partial
             .is_some_and(|partial| partial.remaining.is_some())
         {
             return None;
         }
-        let objective = ask.objective?.as_secs_f64();
+        let objective = submission.objective?.as_secs_f64();
         let timely_wait =
-            objective * (1.0 - OBJECTIVE_MARGIN) - self.min_time_to_first_token(ask, now);
-        let late_wait = match ask.deadline {
-            Some(left) if ask.tier < LATE_TIERS => left.as_secs_f64() * LATE_WAIT_RATIO,
+            objective * (1.0 - OBJECTIVE_MARGIN) - self.min_time_to_first_token(submission, now);
+        let late_wait = match submission.deadline {
+            Some(left) if submission.tier < LATE_TIERS => left.as_secs_f64() * LATE_WAIT_RATIO,
             _ => 0.0,
         };
         let wait = timely_wait.max(late_wait).max(0.0);
@@ -43,8 +43,8 @@
     }
 
     /// Shortest time to a first token on any live target without load, in seconds.
-    fn min_time_to_first_token(&self, ask: &Ask, now: Instant) -> f64 {
-        let prompt = state::work(ask).prefill as f64;
+    fn min_time_to_first_token(&self, submission: &Submission, now: Instant) -> f64 {
+        let prompt = state::work(submission).prefill as f64;
         let live = self.targets.values().filter(|target| target.live);
         let times = live.map(|target| {
             let estimate = &target.estimate;
--- a/crates/lilaccrank/src/dispatch/recovery.rs
+++ b/crates/lilaccrank/src/dispatch/recovery.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexSet;
 
 use super::choice::Choice;
-use super::message::{Ask, Entry, Resync, Running};
+use super::message::{Entry, Resync, Running, Submission};
 use super::state::{State, Waiting, work};
 use super::target::Target;
 use crate::error_kind::ErrorKind;
@@ -50,17 +50,17 @@
     /// Replaces the state of one entry daemon with its resync.
     pub(super) fn resync(&mut self, resync: Resync, now: Instant) {
         self.drop_earlier_incarnations(&resync.entry, now);
-        let running = resync.running.iter().map(|running| &running.ask);
+        let running = resync.running.iter().map(|running| &running.submission);
         let reported: IndexSet<RequestId> = running
             .chain(&resync.waiting)
-            .map(|ask| ask.request.clone())
+            .map(|submission| submission.request.clone())
             .collect();
         self.drop_unreported(&resync.entry, &reported, now);
         for running in resync.running {
             self.take_over_running(running, now);
         }
-        for ask in resync.waiting {
-            self.take_over_waiting(ask, now);
+        for submission in resync.waiting {
+            self.take_over_waiting(submission, now);
         }
         if let Some(handover) = &mut self.handover {
             handover.expected.swap_remove(&resync.entry);
@@ -92,8 +92,8 @@
 
     fn drop_requests_of(&mut self, matches_entry: impl Fn(&Entry) -> bool, now: Instant) {
         let waiting = self.waiting.values();
-        let waiting = waiting.filter(|waiting| matches_entry(&entry_of(&waiting.ask)));
-        let waiting: Vec<RequestId> = waiting.map(|w| w.ask.request.clone()).collect();
+        let waiting = waiting.filter(|waiting| matches_entry(&entry_of(&waiting.submission)));
+        let waiting: Vec<RequestId> = waiting.map(|w| w.submission.request.clone()).collect();
         let granted = self
             .active_grants
             .iter()
@@ -113,10 +113,10 @@
     fn drop_unreported(&mut self, entry: &Entry, reported: &IndexSet<RequestId>, now: Instant) {
         let waiting = self.waiting.values().filter(|waiting| {
             waiting.waiter.is_none()
-                && entry_of(&waiting.ask) == *entry
-                && !reported.contains(&waiting.ask.request)
+                && entry_of(&waiting.submission) == *entry
+                && !reported.contains(&waiting.submission.request)
         });
-        let waiting: Vec<RequestId> = waiting.map(|w| w.ask.request.clone()).collect();
+        let waiting: Vec<RequestId> = waiting.map(|w| w.submission.request.clone()).collect();
         let granted = self.active_grants.iter().filter(|(request, granted)| {
             granted.began && granted.entry == *entry && !reported.contains(*request)
         });
@@ -130,21 +130,25 @@
     }
 
     fn take_over_running(&mut self, running: Running, now: Instant) {
-        let request = running.ask.request.clone();
+        let request = running.submission.request.clone();
         let granted = self.active_grants.get_mut(&request);
-        if let Some(granted) = granted.filter(|granted| granted.ask >= running.ask.ask) {
-            granted.began |= granted.ask == running.ask.ask;
+        if let Some(granted) =
+            granted.filter(|granted| granted.submission >= running.submission.submission)
+        {
+            granted.began |= granted.submission == running.submission.submission;
             return;
         }
         let waiting = self.waiting.get(&request);
-        if waiting.is_some_and(|waiting| waiting.ask.ask > running.ask.ask) {
+        if waiting
+            .is_some_and(|waiting| waiting.submission.submission > running.submission.submission)
+        {
             return;
         }
         self.refuse(&request, ErrorKind::Cancelled, None);
         self.release(&request, now);
         let prefill = match running.decoded {
             Some(_) => 0,
-            None => work(&running.ask).prefill,
+            None => work(&running.submission).prefill,
         };
         let choice = Choice {
             earliest_completion: 0.0,
@@ -156,8 +160,8 @@
             .entry(choice.target.clone())
             .or_insert_with(|| Target::unlisted(choice.target.clone(), now));
         let waiting = Waiting {
-            counter_key: self.limits.take_over(&running.ask, now),
-            ask: running.ask,
+            counter_key: self.limits.take_over(&running.submission, now),
+            submission: running.submission,
             deadline: None,
             delayed: Cell::default(),
             waiter: None,
@@ -168,26 +172,29 @@
         }
     }
 
-    fn take_over_waiting(&mut self, ask: Ask, now: Instant) {
-        let waiting = self.waiting.get(&ask.request).map(|w| w.ask.ask);
+    fn take_over_waiting(&mut self, submission: Submission, now: Instant) {
+        let waiting = self
+            .waiting
+            .get(&submission.request)
+            .map(|w| w.submission.submission);
         let granted = self
             .active_grants
-            .get(&ask.request)
-            .map(|granted| granted.ask);
-        let known = waiting.max(granted) >= Some(ask.ask);
+            .get(&submission.request)
+            .map(|granted| granted.submission);
+        let known = waiting.max(granted) >= Some(submission.submission);
         if known {
             return;
         }
-        self.refuse(&ask.request, ErrorKind::Cancelled, None);
-        self.release(&ask.request, now);
-        let counter_key = self.limits.take_over(&ask, now);
-        self.enqueue(ask, counter_key, now);
+        self.refuse(&submission.request, ErrorKind::Cancelled, None);
+        self.release(&submission.request, now);
+        let counter_key = self.limits.take_over(&submission, now);
+        self.enqueue(submission, counter_key, now);
     }
 }
 
-fn entry_of(ask: &Ask) -> Entry {
+fn entry_of(submission: &Submission) -> Entry {
     Entry {
-        incarnation: ask.entry_incarnation,
-        vm: ask.entry.clone(),
+        incarnation: submission.entry_incarnation,
+        vm: submission.entry.clone(),
     }
 }
--- a/crates/lilaccrank/src/dispatch/reports.rs
+++ b/crates/lilaccrank/src/dispatch/reports.rs
@@ -21,7 +21,8 @@
     /// Applies a report of an entry daemon; a report on an earlier ask is ignored.
     pub(super) fn report(&mut self, report: &Report, now: Instant) {
         let active_grant = self.active_grants.get_mut(&report.request);
-        let Some(active_grant) = active_grant.filter(|active_grant| active_grant.ask == report.ask)
+        let Some(active_grant) =
+            active_grant.filter(|active_grant| active_grant.submission == report.submission)
         else {
             return;
         };
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -15,7 +15,7 @@
 use super::drain_rate::DrainRate;
 use super::inflight::InflightPrefixes;
 use super::limits::{CounterKey, Limits};
-use super::message::{Ask, AskNumber, Entry, Grant, Refuse, Unmeetable, Verdict};
+use super::message::{Entry, Grant, Refuse, Submission, SubmissionNumber, Unmeetable, Verdict};
 use super::queue::{Item, Lane, Priority, Queue};
 use super::rate_limit::Share;
 use super::recovery::Handover;
@@ -51,7 +51,7 @@
 /// Ask in the queue.
 #[derive(Debug)]
 pub(super) struct Waiting {
-    pub(super) ask: Ask,
+    pub(super) submission: Submission,
     pub(super) counter_key: Option<CounterKey>,
     pub(super) deadline: Option<Instant>,
     /// Current delay for a holder of the prefix, if any.
@@ -87,7 +87,7 @@
 /// Granted request that has not ended.
 #[derive(Debug)]
 pub(super) struct ActiveGrant {
-    pub(super) ask: AskNumber,
+    pub(super) submission: SubmissionNumber,
     pub(super) began: bool,
     /// Prefill tokens outstanding at the target after the grant, including its own.
     pub(super) prefill_ahead: u64,
@@ -166,30 +166,38 @@
     }
 
     /// Adds an ask to the queue.
-    pub(super) fn enqueue(&mut self, ask: Ask, counter_key: Option<CounterKey>, now: Instant) {
-        let deadline = ask.deadline.and_then(|left| now.checked_add(left));
-        let queue_limit = ask.wait_at_most.and_then(|wait| now.checked_add(wait));
-        let queue_deadline = self.queue_deadline(&ask, now);
+    pub(super) fn enqueue(
+        &mut self,
+        submission: Submission,
+        counter_key: Option<CounterKey>,
+        now: Instant,
+    ) {
+        let deadline = submission.deadline.and_then(|left| now.checked_add(left));
+        let queue_limit = submission
+            .wait_at_most
+            .and_then(|wait| now.checked_add(wait));
+        let queue_deadline = self.queue_deadline(&submission, now);
         self.queue.push(Item {
-            customer: ask.customer.clone(),
-            lane: lane(&ask),
-            request: ask.request.clone(),
-            priority: priority(&ask),
+            customer: submission.customer.clone(),
+            lane: lane(&submission),
+            request: submission.request.clone(),
+            priority: priority(&submission),
             until: [deadline, queue_limit, queue_deadline]
                 .into_iter()
                 .flatten()
                 .min(),
-            weight: ask.weight,
-            work: work(&ask),
+            weight: submission.weight,
+            work: work(&submission),
         });
         let waiting = Waiting {
-            ask,
+            submission,
             counter_key,
             deadline,
             delayed: Cell::default(),
             waiter: None,
         };
-        self.waiting.insert(waiting.ask.request.clone(), waiting);
+        self.waiting
+            .insert(waiting.submission.request.clone(), waiting);
     }
 
     /// Removes a waiting ask and refuses it.
@@ -205,71 +213,75 @@
         };
         let reason = reason.into();
         if reason.unmeetable.is_some() {
-            self.record_outcome(&waiting.ask, false);
+            self.record_outcome(&waiting.submission, false);
         }
         if let Some(counter_key) = &waiting.counter_key {
             self.limits.release(counter_key);
         }
         if let Some(waiter) = waiting.waiter {
             // The receiver may have been dropped; the verdict is not needed then.
-            let _ = waiter.tx.send(refuse(&waiting.ask, reason, retry));
+            let _ = waiter.tx.send(refuse(&waiting.submission, reason, retry));
         }
     }
 
     /// Requirements of a waiting ask.
     pub(super) fn needs_of<'a>(&'a self, waiting: &'a Waiting, now: Instant) -> Requirements<'a> {
         let left = |until: Instant| until.saturating_duration_since(now);
-        self.needs(&waiting.ask, waiting.deadline.map(left))
+        self.needs(&waiting.submission, waiting.deadline.map(left))
     }
 
     /// Requirements of an ask with this time left until its deadline.
-    pub(super) fn needs<'a>(&'a self, ask: &'a Ask, left: Option<Duration>) -> Requirements<'a> {
-        let whole = work(ask);
+    pub(super) fn needs<'a>(
+        &'a self,
+        submission: &'a Submission,
+        left: Option<Duration>,
+    ) -> Requirements<'a> {
+        let whole = work(submission);
         Requirements {
             block_tokens: self.cfg.block_tokens,
             data_centre: &self.cfg.data_centre,
-            finish_within: finish_within(ask, left),
-            exclusions: &ask.exclusions,
-            lane: lane(ask),
-            objective: ask.objective,
-            prefix: &ask.prefix,
-            priority: priority(ask),
-            tier: ask.tier,
-            reservation: self.reservation(ask),
-            tiers_before: self.tiers.count_before(ask.tier),
+            finish_within: finish_within(submission, left),
+            exclusions: &submission.exclusions,
+            lane: lane(submission),
+            objective: submission.objective,
+            prefix: &submission.prefix,
+            priority: priority(submission),
+            tier: submission.tier,
+            reservation: self.reservation(submission),
+            tiers_before: self.tiers.count_before(submission.tier),
             work: Work {
-                decode: self.expected_decode(ask),
+                decode: self.expected_decode(submission),
                 prefill: whole.prefill,
             },
         }
     }
 
-    fn reservation(&self, ask: &Ask) -> Reservation {
-        let objectives = self.tiers.objectives_before(ask.tier);
-        let reservation = Reservation::new(objectives, self.tiers.is_served_least(ask.tier));
+    fn reservation(&self, submission: &Submission) -> Reservation {
+        let objectives = self.tiers.objectives_before(submission.tier);
+        let reservation = Reservation::new(objectives, self.tiers.is_served_least(submission.tier));
         // A resumed answer frees a slot elsewhere.
-        match ask.partial {
+        match submission.partial {
             Some(_) => reservation.without_last(),
             None => reservation,
         }
     }
 
     /// Records whether an ask was granted. Resumed answers are not counted again.
-    pub(super) fn record_outcome(&mut self, ask: &Ask, served: bool) {
-        if ask.partial.is_none() {
-            self.tiers.record_outcome(ask.tier, served);
+    pub(super) fn record_outcome(&mut self, submission: &Submission, served: bool) {
+        if submission.partial.is_none() {
+            self.tiers.record_outcome(submission.tier, served);
         }
     }
 
     /// Expected number of tokens that a target generates for the ask.
-    fn expected_decode(&self, ask: &Ask) -> u64 {
-        let typical = f64::from(ask.max_tokens) * self.length_ratio;
-        match ask.partial {
+    fn expected_decode(&self, submission: &Submission) -> u64 {
+        let typical = f64::from(submission.max_tokens) * self.length_ratio;
+        match submission.partial {
             None => typical as u64,
             Some(partial) => {
                 let likely = u64::from(stream_progress::expected_remaining_tokens(partial.tokens));
                 let typical = (typical as u64).saturating_sub(partial.tokens.into());
-                likely.max(typical).min(work(ask).decode)
+                likely.max(typical).min(work(submission).decode)
             }
         }
     }
@@ -288,10 +300,10 @@
     }
 
     /// Returns the current grant of a request as a verdict.
-    pub(super) fn grant_verdict(&self, request: &str, ask: AskNumber) -> Verdict {
+    pub(super) fn grant_verdict(&self, request: &str, submission: SubmissionNumber) -> Verdict {
         let active_grant = &self.active_grants[request];
         Verdict::Grant(Grant {
-            ask,
+            submission,
             dispatcher: self.cfg.vm.clone(),
             dispatcher_incarnation: self.cfg.incarnation,
             expected: Some(active_grant.expected),
@@ -309,8 +321,8 @@
 
 /// Time within which a target must finish a partial answer: before its deadline, and clearly before
 /// the target that currently generates it.
-fn finish_within(ask: &Ask, left: Option<Duration>) -> Option<Duration> {
-    let partial = ask.partial?;
+fn finish_within(submission: &Submission, left: Option<Duration>) -> Option<Duration> {
+    let partial = submission.partial?;
     let migration_limit = partial
         .remaining
         .map(|remaining| remaining.mul_f64(MIGRATION_TIME_RATIO));
@@ -319,27 +331,27 @@
 
 /// Length of an ask in tokens; a request to a plain service counts as one token. A partial answer
 /// is prefilled like the prompt.
-pub(super) fn work(ask: &Ask) -> Work {
-    let partial = ask.partial.map_or(0, |partial| partial.tokens);
+pub(super) fn work(submission: &Submission) -> Work {
+    let partial = submission.partial.map_or(0, |partial| partial.tokens);
     Work {
-        decode: u64::from(ask.max_tokens.saturating_sub(partial)),
-        prefill: u64::from(ask.prompt_tokens.saturating_add(partial).max(1)),
+        decode: u64::from(submission.max_tokens.saturating_sub(partial)),
+        prefill: u64::from(submission.prompt_tokens.saturating_add(partial).max(1)),
     }
 }
 
-pub(super) fn priority(ask: &Ask) -> Priority {
+pub(super) fn priority(submission: &Submission) -> Priority {
     Priority {
-        rank: ask.rank,
-        tier: ask.tier,
+        rank: submission.rank,
+        tier: submission.tier,
     }
 }
 
-fn lane(ask: &Ask) -> Lane {
-    if ask.partial.is_some() {
+fn lane(submission: &Submission) -> Lane {
+    if submission.partial.is_some() {
         Lane::Resumed
-    } else if !ask.exclusions.is_empty() {
+    } else if !submission.exclusions.is_empty() {
         Lane::Excluding
-    } else if u64::from(ask.prompt_tokens) > choice::LONG_PROMPT_TOKENS {
+    } else if u64::from(submission.prompt_tokens) > choice::LONG_PROMPT_TOKENS {
         Lane::Long
     } else {
         Lane::Short
@@ -347,24 +359,24 @@
 }
 
 pub(super) fn refusal_of(
-    ask: &Ask,
+    submission: &Submission,
     reason: impl Into<RefusalReason>,
     retry_after: Option<Duration>,
 ) -> Refuse {
     let reason = reason.into();
     Refuse {
-        ask: ask.ask,
+        submission: submission.submission,
         kind: reason.kind,
-        request: ask.request.clone(),
+        request: submission.request.clone(),
         retry_after,
         unmeetable: reason.unmeetable,
     }
 }
 
 pub(super) fn refuse(
-    ask: &Ask,
+    submission: &Submission,
     reason: impl Into<RefusalReason>,
     retry_after: Option<Duration>,
 ) -> Verdict {
-    Verdict::Refuse(refusal_of(ask, reason, retry_after))
+    Verdict::Refuse(refusal_of(submission, reason, retry_after))
 }
--- a/crates/lilaccrank/tests/suite/dispatch_affinity.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_affinity.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use lilaccrank::dispatch::message::{Ask, CacheEvent};
+use lilaccrank::dispatch::message::{CacheEvent, Submission};
 use lilaccrank::prompt;
 use lilaccrank::target_instance::TargetInstance;
 
-use crate::dispatch_fixtures::{FIRST_TOKEN, ask, granted, harness};
+use crate::dispatch_fixtures::{FIRST_TOKEN, granted, harness, submission};
 use crate::dispatch_harness::Harness;
 
 // Guards against a long prompt sent to an engine that has evicted it, when the batch with the eviction
@@ -55,25 +55,25 @@
 // prefills the first one and finds nothing in the cache. It waits for the first token of the first
 // request, but no longer than three times its own prefill. The most urgent tier does not wait.
 #[test]
-fn ask_waits_for_a_prefix_in_prefill() {
+fn submission_waits_for_a_prefix_in_prefill() {
     let mut harness = harness(&[8, 8]);
-    let ask_with_prefix = |request: &str, seed: u8, tier: u8| Ask {
+    let submission_with_prefix = |request: &str, seed: u8, tier: u8| Submission {
         prefix: prompt::block_prefix_digests(&[seed; 2000], 64),
         prompt_tokens: 2000,
-        ..ask(request, tier)
+        ..submission(request, tier)
     };
-    harness.ask(ask_with_prefix("first", 1, 1));
+    harness.submit(submission_with_prefix("first", 1, 1));
     let (_, prefill_target) = harness.grants().remove(0);
-    harness.ask(ask_with_prefix("second", 1, 1));
+    harness.submit(submission_with_prefix("second", 1, 1));
     assert_eq!(harness.grants(), []);
-    harness.ask(ask_with_prefix("urgent", 1, 0));
+    harness.submit(submission_with_prefix("urgent", 1, 0));
     assert_eq!(harness.grants().len(), 1);
     harness.report("first", &prefill_target, FIRST_TOKEN);
     assert_eq!(harness.grants(), granted("second", &prefill_target));
 
-    harness.ask(ask_with_prefix("third", 2, 1));
+    harness.submit(submission_with_prefix("third", 2, 1));
     assert_eq!(harness.grants().len(), 1);
-    harness.ask(ask_with_prefix("fourth", 2, 1));
+    harness.submit(submission_with_prefix("fourth", 2, 1));
     harness.advance(Duration::from_millis(700));
     assert_eq!(harness.grants(), []);
     harness.advance(Duration::from_millis(100));
@@ -87,18 +87,18 @@
 fn affinity_yields_to_load() {
     let mut harness = harness(&[64, 64]);
     let prefix = prompt::block_prefix_digests(&[7; 2000], 64);
-    let ask_with_shared_prefix = |i: u32| Ask {
+    let submission_with_shared_prefix = |i: u32| Submission {
         prefix: prefix.clone(),
         prompt_tokens: 2000,
-        ..ask(&format!("r{i}"), 0)
+        ..submission(&format!("r{i}"), 0)
     };
-    harness.ask(ask_with_shared_prefix(0));
+    harness.submit(submission_with_shared_prefix(0));
     let (_, cache_target) = harness.grants().remove(0);
     harness.report("r0", &cache_target, FIRST_TOKEN);
-    harness.ask(ask_with_shared_prefix(1));
+    harness.submit(submission_with_shared_prefix(1));
     assert_eq!(harness.grants(), granted("r1", &cache_target));
     for i in 2..60 {
-        harness.ask(ask_with_shared_prefix(i));
+        harness.submit(submission_with_shared_prefix(i));
     }
     let mut counts = BTreeMap::new();
     for (_, target) in harness.grants() {
@@ -113,27 +113,30 @@
 #[test]
 fn wait_for_the_target_with_the_prefix_is_bounded() {
     let mut harness = harness(&[2, 2]);
-    let ask_with_shared_prefix = |request: &str, tier: u8| Ask {
+    let submission_with_shared_prefix = |request: &str, tier: u8| Submission {
         prefix: prompt::block_prefix_digests(&[7; 2000], 64),
         prompt_tokens: 2000,
-        ..ask(request, tier)
+        ..submission(request, tier)
     };
     for request in ["x", "y"] {
         let exclusions = vec![TargetInstance::from("t1")];
-        let ask = ask_with_shared_prefix(request, 0);
-        harness.ask(Ask { exclusions, ..ask });
+        let submission = submission_with_shared_prefix(request, 0);
+        harness.submit(Submission {
+            exclusions,
+            ..submission
+        });
         harness.report(request, "t0", FIRST_TOKEN);
     }
     assert_eq!(harness.grants().len(), 2);
-    harness.ask(ask_with_shared_prefix("first", 1));
+    harness.submit(submission_with_shared_prefix("first", 1));
     let customer = "quarry".to_owned();
-    let other = ask("other", 1);
-    harness.ask(Ask { customer, ..other });
+    let other = submission("other", 1);
+    harness.submit(Submission { customer, ..other });
     assert_eq!(harness.grants(), granted("other", "t1"));
     harness.end("x", "t0");
     assert_eq!(harness.grants(), granted("first", "t0"));
     harness.end("other", "t1");
-    harness.ask(ask_with_shared_prefix("second", 1));
+    harness.submit(submission_with_shared_prefix("second", 1));
     harness.advance(Duration::from_millis(700));
     assert_eq!(harness.grants(), []);
     harness.advance(Duration::from_millis(100));
--- a/crates/lilaccrank/tests/suite/dispatch_faults.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_faults.rs
@@ -4,41 +4,44 @@
 
 use futures::FutureExt;
 use lilaccrank::dispatch::health::State;
-use lilaccrank::dispatch::message::{Ask, ReportKind, Resync, Running, Verdict};
+use lilaccrank::dispatch::message::{ReportKind, Resync, Running, Submission, Verdict};
 use lilaccrank::document::TargetState;
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::target_instance::TargetInstance;
 
 use crate::dispatch_fixtures::{
-    CONCURRENCY_LIMIT, FIRST_TOKEN, MIN_HANG_TIMEOUT, ask, ask_with_limit, ask_with_long_prompt,
-    entry, granted, harness, refused, waiting,
+    CONCURRENCY_LIMIT, FIRST_TOKEN, MIN_HANG_TIMEOUT, entry, granted, harness, refused, submission,
+    submission_with_limit, submission_with_long_prompt, waiting,
 };
 use crate::dispatch_harness::{Harness, LOWEST_TIER};
 
 // Guards against a request that holds two slots or is sent twice: an entry that lost the answer asks
 // again with a new number, and a grant for the first ask comes late.
 #[test]
-fn later_ask_supersedes_the_earlier_one() {
+fn later_submission_supersedes_the_earlier_one() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("runs", 0));
-    let repeated = ask_with_limit("again", CONCURRENCY_LIMIT);
-    harness.ask(repeated.clone());
+    harness.submit(submission("runs", 0));
+    let repeated = submission_with_limit("again", CONCURRENCY_LIMIT);
+    harness.submit(repeated.clone());
     harness.verdicts();
-    harness.ask(Ask { ask: 2, ..repeated });
+    harness.submit(Submission {
+        submission: 2,
+        ..repeated
+    });
     assert_eq!(harness.refusals(), refused("again", ErrorKind::Cancelled));
     harness.end("runs", "t0");
     let verdicts = harness.verdicts();
     let [Verdict::Grant(grant)] = verdicts.as_slice() else {
         panic!("{verdicts:?}");
     };
-    assert_eq!((grant.ask, grant.dispatcher.as_str()), (2, "vm1"));
+    assert_eq!((grant.submission, grant.dispatcher.as_str()), (2, "vm1"));
     harness.end("again", "t0");
     assert_eq!(
         harness.dispatcher.status().running,
         1,
         "a report for ask 1 is ignored"
     );
-    harness.ask(ask("again", 0));
+    harness.submit(submission("again", 0));
     assert_eq!(harness.refusals(), refused("again", ErrorKind::Cancelled));
 }
 
@@ -47,10 +50,10 @@
 #[test]
 fn a_repeated_call_gets_the_same_grant() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("once", 1));
+    harness.submit(submission("once", 1));
     let first = harness.verdicts();
-    harness.ask(ask("waits", 0));
-    harness.ask(ask("once", 1));
+    harness.submit(submission("waits", 0));
+    harness.submit(submission("once", 1));
     assert_eq!(harness.verdicts(), first);
     assert_eq!(harness.dispatcher.status().running, 1);
 }
@@ -58,13 +61,13 @@
 // Guards against a request that waits forever: its entry lost the answer and repeats the call with
 // the same number, then the first call is dropped, which must not cancel the ask of the second.
 #[test]
-fn dropping_a_replaced_call_keeps_its_ask() {
+fn dropping_a_replaced_call_keeps_its_submission() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("runs", 0));
+    harness.submit(submission("runs", 0));
     let dispatcher = harness.dispatcher.clone();
-    let mut first = Box::pin(dispatcher.ask(ask("r", 0)));
+    let mut first = Box::pin(dispatcher.submit(submission("r", 0)));
     assert_eq!((&mut first).now_or_never(), None);
-    let mut second = Box::pin(dispatcher.ask(ask("r", 0)));
+    let mut second = Box::pin(dispatcher.submit(submission("r", 0)));
     assert_eq!((&mut second).now_or_never(), None);
     drop(first);
     harness.end("runs", "t0");
@@ -74,15 +77,15 @@
 // Guards against slots held for callers that have disconnected. The call is dropped while the ask
 // waits, or just as it is granted.
 #[test]
-fn dropping_a_call_cancels_its_ask() {
+fn dropping_a_call_cancels_its_submission() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("runs", 0));
-    let dropped = harness.call(ask("gone", 0));
+    harness.submit(submission("runs", 0));
+    let dropped = harness.call(submission("gone", 0));
     assert_eq!(waiting(&harness), 1);
     drop(dropped);
     harness.verdicts();
     assert_eq!(waiting(&harness), 0);
-    let granted_unread = harness.call(ask("late", 0));
+    let granted_unread = harness.call(submission("late", 0));
     harness.end("runs", "t0");
     drop(granted_unread);
     harness.verdicts();
@@ -94,7 +97,7 @@
 #[test]
 fn unconfirmed_grant_expires() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("lost", 0));
+    harness.submit(submission("lost", 0));
     harness.advance(Duration::from_secs(11));
     assert_eq!(harness.dispatcher.status().running, 0);
 }
@@ -104,12 +107,12 @@
 #[test]
 fn draining_target_gets_no_requests() {
     let mut harness = harness(&[1, 8]);
-    harness.ask(ask("a", 0));
-    harness.ask(ask("b", 0));
+    harness.submit(submission("a", 0));
+    harness.submit(submission("b", 0));
     assert_eq!(harness.grants().len(), 2);
     harness.set_state(1, TargetState::Draining);
     for i in 0..3 {
-        harness.ask(ask(&format!("r{i}"), 0));
+        harness.submit(submission(&format!("r{i}"), 0));
     }
     assert_eq!(harness.verdicts(), []);
     harness.set_state(0, TargetState::Draining);
@@ -128,22 +131,22 @@
 #[test]
 fn hung_target_is_detected_and_retried() {
     let mut harness = harness(&[8, 1]);
-    harness.ask(ask("silent", 0));
+    harness.submit(submission("silent", 0));
     assert_eq!(harness.grants(), granted("silent", "t0"));
     harness.report("silent", "t0", ReportKind::Began);
     harness.advance(Duration::from_secs(4));
     let health = |harness: &Harness| harness.dispatcher.status().targets[0].health;
     assert_eq!(health(&harness), State::Hung);
-    harness.ask(ask("urgent", 0));
+    harness.submit(submission("urgent", 0));
     assert_eq!(harness.grants(), granted("urgent", "t1"));
-    harness.ask(ask("waits", 0));
-    harness.ask(ask_with_long_prompt("survey", 3));
+    harness.submit(submission("waits", 0));
+    harness.submit(submission_with_long_prompt("survey", 3));
     assert_eq!(
         harness.grants(),
         [],
         "a trial takes no urgent request and no long prompt"
     );
-    harness.ask(ask("cheap", 3));
+    harness.submit(submission("cheap", 3));
     assert_eq!(harness.grants(), granted("cheap", "t0"));
     harness.report("silent", "t0", FIRST_TOKEN);
     assert_eq!(health(&harness), State::Well);
@@ -159,12 +162,12 @@
 #[test]
 fn trial_is_one_cheap_request() {
     let mut harness = harness(&[8]);
-    harness.ask(ask("silent", 0));
+    harness.submit(submission("silent", 0));
     harness.report("silent", "t0", ReportKind::Began);
     harness.advance(Duration::from_secs(4));
     harness.verdicts();
     for i in 0..3 {
-        harness.ask(ask(&format!("trial{i}"), 3));
+        harness.submit(submission(&format!("trial{i}"), 3));
     }
     assert_eq!(harness.grants(), granted("trial0", "t0"));
     harness.report("trial0", "t0", ReportKind::Began);
@@ -185,7 +188,7 @@
 #[test]
 fn slow_target_gets_fewer_slots() {
     let mut harness = harness(&[8]);
-    harness.ask(ask("r", 0));
+    harness.submit(submission("r", 0));
     harness.report_steps("r", "t0", 8, 20);
     let slots = |harness: &Harness| harness.dispatcher.status().targets[0].slots;
     assert_eq!(slots(&harness), 8);
@@ -211,25 +214,25 @@
         ("other", 1),
         ("lowest", LOWEST_TIER),
     ] {
-        harness.ask(ask(request, tier));
+        harness.submit(submission(request, tier));
     }
     assert_eq!(harness.refusals(), refused("lowest", ErrorKind::Overloaded));
-    let resync = |vm: &str, waiting: Vec<Ask>| Resync {
+    let resync = |vm: &str, waiting: Vec<Submission>| Resync {
         entry: entry(vm),
         running: Vec::new(),
         waiting,
     };
     harness
         .dispatcher
-        .resync(resync("vm2", vec![ask("bulk", 2)]));
+        .resync(resync("vm2", vec![submission("bulk", 2)]));
     assert_eq!(harness.verdicts(), []);
-    let call = Ask {
+    let call = Submission {
         entry: "vm3".to_owned(),
-        ..ask("call", 0)
+        ..submission("call", 0)
     };
     harness.dispatcher.resync(resync("vm3", vec![call.clone()]));
     assert_eq!(harness.refusals(), refused("bulk", ErrorKind::Overloaded));
-    harness.ask(call);
+    harness.submit(call);
     assert_eq!(harness.grants(), granted("call", "t0"));
 }
 
@@ -244,7 +247,7 @@
         .dispatcher
         .begin_handover(expected, MIN_HANG_TIMEOUT);
     for (request, tier) in [("bulk", 2), ("more", 1), ("urgent", 0)] {
-        harness.ask(ask(request, tier));
+        harness.submit(submission(request, tier));
     }
     assert_eq!(harness.refusals(), refused("bulk", ErrorKind::Overloaded));
 }
@@ -256,7 +259,7 @@
     harness
         .dispatcher
         .begin_handover(vec![entry("vm9")], MIN_HANG_TIMEOUT);
-    harness.ask(ask("r", 0));
+    harness.submit(submission("r", 0));
     harness.advance(MIN_HANG_TIMEOUT / 2);
     assert_eq!(harness.verdicts(), []);
     harness.advance(MIN_HANG_TIMEOUT);
@@ -271,9 +274,9 @@
     harness
         .dispatcher
         .begin_handover(vec![entry("vm2")], MIN_HANG_TIMEOUT);
-    harness.ask(ask("r", 0));
+    harness.submit(submission("r", 0));
     let running = Running {
-        ask: ask("r", 0),
+        submission: submission("r", 0),
         decoded: Some(3),
         target: TargetInstance::from("t0"),
     };
@@ -283,7 +286,7 @@
         waiting: vec![],
     });
     assert_eq!(harness.refusals(), refused("r", ErrorKind::Cancelled));
-    harness.ask(ask("other", 0));
+    harness.submit(submission("other", 0));
     assert_eq!(harness.verdicts(), []);
     harness.end("r", "t0");
     assert_eq!(harness.grants(), granted("other", "t0"));
@@ -293,11 +296,11 @@
 #[test]
 fn forgotten_entry_releases_its_requests() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("runs", 0));
-    harness.ask(ask("waits", 0));
-    harness.ask(Ask {
+    harness.submit(submission("runs", 0));
+    harness.submit(submission("waits", 0));
+    harness.submit(Submission {
         entry: "vm3".to_owned(),
-        ..ask("other", 0)
+        ..submission("other", 0)
     });
     harness.verdicts();
     harness.dispatcher.forget_entry(&"vm2".to_owned(), 1);
--- a/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use lilaccrank::dispatch::message::{Ask, Entry, ReportKind};
+use lilaccrank::dispatch::message::{Entry, ReportKind, Submission};
 use lilaccrank::dispatch::sharing::{Digest, TargetLoad};
 use lilaccrank::document::Limit;
 use lilaccrank::error_kind::ErrorKind;
@@ -31,31 +31,34 @@
 }
 
 /// Returns an ask with a short prompt.
-pub fn ask(request: &str, tier: u8) -> Ask {
-    dispatch_harness::ask(request, tier)
+pub fn submission(request: &str, tier: u8) -> Submission {
+    dispatch_harness::submission(request, tier)
 }
 
 /// Returns an ask with a prompt of 10 000 tokens.
-pub fn ask_with_long_prompt(request: &str, tier: u8) -> Ask {
+pub fn submission_with_long_prompt(request: &str, tier: u8) -> Submission {
     let prompt_tokens = 10_000;
-    Ask {
+    Submission {
         prompt_tokens,
-        ..ask(request, tier)
+        ..submission(request, tier)
     }
 }
 
 /// Sets the deadline of an ask, in seconds from now.
-pub fn with_deadline(secs: u64, ask: Ask) -> Ask {
+pub fn with_deadline(secs: u64, submission: Submission) -> Submission {
     let deadline = Some(Duration::from_secs(secs));
-    Ask { deadline, ..ask }
+    Submission {
+        deadline,
+        ..submission
+    }
 }
 
 /// Returns an ask of the most urgent tier that counts against a limit.
-pub fn ask_with_limit(request: &str, limit: Limit) -> Ask {
+pub fn submission_with_limit(request: &str, limit: Limit) -> Submission {
     let limit = Some(limit);
-    Ask {
+    Submission {
         limit,
-        ..ask(request, 0)
+        ..submission(request, 0)
     }
 }
 
@@ -116,10 +119,10 @@
 }
 
 /// Returns an ask with a first-token objective of 1 s and a deadline of 10 s.
-pub fn ask_with_objective(request: &str, tier: u8) -> Ask {
-    Ask {
+pub fn submission_with_objective(request: &str, tier: u8) -> Submission {
+    Submission {
         deadline: Some(Duration::from_secs(10)),
         objective: Some(Duration::from_millis(1_000)),
-        ..ask(request, tier)
+        ..submission(request, tier)
     }
 }
--- a/crates/lilaccrank/tests/suite/dispatch_harness.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_harness.rs
@@ -7,7 +7,7 @@
 use futures::executor::{LocalPool, LocalSpawner};
 use futures::future::RemoteHandle;
 use futures::task::LocalSpawnExt;
-use lilaccrank::dispatch::message::{Ask, Outcome, Report, ReportKind, Verdict};
+use lilaccrank::dispatch::message::{Outcome, Report, ReportKind, Submission, Verdict};
 use lilaccrank::dispatch::{Config, Dispatcher};
 use lilaccrank::document::{Pool, Target, TargetState};
 use lilaccrank::error_kind::ErrorKind;
@@ -85,11 +85,11 @@
     }
 
     /// Starts a call that is cancelled when the handle is dropped.
-    pub fn call(&mut self, ask: Ask) -> RemoteHandle<()> {
+    pub fn call(&mut self, submission: Submission) -> RemoteHandle<()> {
         let dispatcher = self.dispatcher.clone();
         let verdicts = Rc::clone(&self.verdicts);
         let call = async move {
-            let verdict = dispatcher.ask(ask).await;
+            let verdict = dispatcher.submit(submission).await;
             verdicts.borrow_mut().push(verdict);
         };
         let handle = self.spawner.spawn_local_with_handle(call).unwrap();
@@ -98,8 +98,8 @@
     }
 
     /// Starts a call that runs until its verdict.
-    pub fn ask(&mut self, ask: Ask) {
-        self.call(ask).forget();
+    pub fn submit(&mut self, submission: Submission) {
+        self.call(submission).forget();
     }
 
     /// Advances the clock and runs the timers that fire meanwhile.
@@ -141,7 +141,7 @@
     /// Reports an event at a target for the first ask of a request.
     pub fn report(&mut self, request: &str, target: &str, kind: ReportKind) {
         self.dispatcher.report(&Report {
-            ask: 1,
+            submission: 1,
             kind,
             request: request.to_owned(),
             target: TargetInstance::from(target),
@@ -174,9 +174,9 @@
 }
 
 /// Returns an ask for a request with a short prompt.
-pub fn ask(request: &str, tier: u8) -> Ask {
-    Ask {
-        ask: 1,
+pub fn submission(request: &str, tier: u8) -> Submission {
+    Submission {
+        submission: 1,
         customer: "hotel".to_owned(),
         entry: "vm2".to_owned(),
         entry_incarnation: 1,
@@ -185,6 +185,6 @@
         request: request.to_owned(),
         tier,
         weight: 1,
-        ..Ask::default()
+        ..Submission::default()
     }
 }
--- a/crates/lilaccrank/tests/suite/dispatch_inputs.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_inputs.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use lilaccrank::dispatch::message::{Ask, LoadReport, ReportKind};
+use lilaccrank::dispatch::message::{LoadReport, ReportKind, Submission};
 use lilaccrank::dispatch::sharing::{Digest, Observation, Sample, TargetLoad};
 use lilaccrank::target_instance::TargetInstance;
 use quickcheck::{Arbitrary, Gen};
 
-use crate::dispatch_fixtures::{ask, harness};
+use crate::dispatch_fixtures::{harness, submission};
 use crate::seeded;
 
 /// Generates a number that is mostly at an end of its range.
@@ -62,17 +62,17 @@
 
 /// An ask with arbitrary lengths and times.
 #[derive(Clone, Debug)]
-struct ArbitraryAsk(Ask);
+struct ArbitrarySubmission(Submission);
 
-impl Arbitrary for ArbitraryAsk {
+impl Arbitrary for ArbitrarySubmission {
     fn arbitrary(g: &mut Gen) -> Self {
-        Self(Ask {
+        Self(Submission {
             deadline: Some(boundary_duration(g)),
             max_tokens: boundary_value(g) as u32,
             objective: Some(boundary_duration(g)),
             prompt_tokens: boundary_value(g) as u32,
             weight: boundary_value(g) as u32,
-            ..ask("lies", u8::arbitrary(g) % 3)
+            ..submission("lies", u8::arbitrary(g) % 3)
         })
     }
 }
@@ -81,19 +81,22 @@
 // digests. Once it is gone, the target gets requests again.
 #[test]
 fn invalid_digests_of_a_peer_are_tolerated() {
-    fn holds(digests: Vec<ArbitraryDigest>, arbitrary_ask: ArbitraryAsk) -> bool {
+    fn holds(digests: Vec<ArbitraryDigest>, arbitrary_submission: ArbitrarySubmission) -> bool {
         let mut harness = harness(&[4, 4]);
         for ArbitraryDigest(digest) in digests {
             harness.dispatcher.apply_digest(&"vm2".to_owned(), digest);
         }
-        harness.ask(arbitrary_ask.0);
+        harness.submit(arbitrary_submission.0);
         harness.advance(Duration::from_secs(3));
         harness.verdicts();
         harness.end("lies", "t0");
-        harness.ask(ask("sound", 0));
+        harness.submit(submission("sound", 0));
         !harness.grants().is_empty()
     }
-    seeded::check(300, holds as fn(Vec<ArbitraryDigest>, ArbitraryAsk) -> bool);
+    seeded::check(
+        300,
+        holds as fn(Vec<ArbitraryDigest>, ArbitrarySubmission) -> bool,
+    );
 }
 
 // Guards against a panic on impossible load reports and on answers longer than requested.
@@ -105,7 +108,7 @@
         harness
             .dispatcher
             .load_report(&TargetInstance::from("t0"), report);
-        harness.ask(ask("a", 0));
+        harness.submit(submission("a", 0));
         let step = Duration::from_millis(step);
         harness.report("a", "t0", ReportKind::FirstToken { after: step });
         harness.report("a", "t0", ReportKind::Progress { step, tokens });
--- a/crates/lilaccrank/tests/suite/dispatch_locality.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_locality.rs
@@ -1,6 +1,6 @@
 //! Targets in several data centres: local ones are preferred unless that delays the request.
 
-use crate::dispatch_fixtures::{ask, ask_with_long_prompt, granted, harness};
+use crate::dispatch_fixtures::{granted, harness, submission, submission_with_long_prompt};
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
 
 /// Returns a harness with one target for each slot count; those with an index in `local` are in the
@@ -25,7 +25,7 @@
     let mut harness = harness_with_local_targets(&[8, 8, 8, 8], &[2]);
     for number in 0..6 {
         let request = format!("r{number}");
-        harness.ask(ask(&request, 0));
+        harness.submit(submission(&request, 0));
         assert_eq!(harness.grants(), granted(&request, "t2"));
         harness.end(&request, "t2");
     }
@@ -35,9 +35,9 @@
 #[test]
 fn remote_target_is_chosen_if_it_answers_sooner() {
     let mut harness = harness_with_local_targets(&[8, 8], &[1]);
-    harness.ask(ask_with_long_prompt("long", 0));
+    harness.submit(submission_with_long_prompt("long", 0));
     assert_eq!(harness.grants(), granted("long", "t1"));
-    harness.ask(ask("short", 0));
+    harness.submit(submission("short", 0));
     assert_eq!(harness.grants(), granted("short", "t0"));
 }
 
@@ -45,9 +45,9 @@
 #[test]
 fn remote_target_is_chosen_if_local_ones_are_full() {
     let mut harness = harness_with_local_targets(&[8, 1], &[1]);
-    harness.ask(ask("a", 0));
+    harness.submit(submission("a", 0));
     assert_eq!(harness.grants(), granted("a", "t1"));
-    harness.ask(ask("b", 0));
+    harness.submit(submission("b", 0));
     assert_eq!(harness.grants(), granted("b", "t0"));
 }
 
@@ -59,7 +59,7 @@
     let mut chosen = Vec::new();
     for number in 0..4 {
         let request = format!("r{number}");
-        harness.ask(ask(&request, 0));
+        harness.submit(submission(&request, 0));
         let (_, target) = harness.grants().remove(0);
         harness.end(&request, &target);
         chosen.push(target);
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use lilaccrank::dispatch::message::{Ask, Cancel, PartialAnswer, ReportKind, Verdict};
+use lilaccrank::dispatch::message::{Cancel, PartialAnswer, ReportKind, Submission, Verdict};
 use lilaccrank::dispatch::status::TargetStatus;
 use lilaccrank::document::TargetState;
 use lilaccrank::error_kind::ErrorKind;
@@ -89,26 +89,26 @@
 /// A queued ask and its position in the order of arrival.
 #[derive(Clone, Debug)]
 struct Waiting {
-    ask: Ask,
+    submission: Submission,
     sequence: usize,
 }
 
 impl Waiting {
     /// Returns the tokens charged to the customer: prompt, partial answer and what is left of the limit.
     fn tokens(&self) -> u64 {
-        let partial = self.ask.partial.map_or(0, |partial| partial.tokens);
-        let left = self.ask.max_tokens.saturating_sub(partial);
-        u64::from(self.ask.prompt_tokens + partial) + u64::from(left)
+        let partial = self.submission.partial.map_or(0, |partial| partial.tokens);
+        let left = self.submission.max_tokens.saturating_sub(partial);
+        u64::from(self.submission.prompt_tokens + partial) + u64::from(left)
     }
 
     fn is_long(&self) -> bool {
-        self.ask.prompt_tokens == LONG_PROMPT_TOKENS
+        self.submission.prompt_tokens == LONG_PROMPT_TOKENS
     }
 
     /// Returns the lane: requests with different needs of targets do not block each other.
     fn lane(&self) -> (bool, bool, bool) {
-        let partial = self.ask.partial.is_some();
-        let excluding = !partial && !self.ask.exclusions.is_empty();
+        let partial = self.submission.partial.is_some();
+        let excluding = !partial && !self.submission.exclusions.is_empty();
         (partial, excluding, self.is_long() && !excluding && !partial)
     }
 }
@@ -116,7 +116,7 @@
 /// A granted request.
 #[derive(Debug)]
 struct Running {
-    ask: Ask,
+    submission: Submission,
     prefilled: bool,
     target: String,
 }
@@ -124,7 +124,7 @@
 impl Running {
     /// Returns the tokens that its target has to prefill.
     fn prompt(&self) -> u32 {
-        self.ask.prompt_tokens + self.ask.partial.map_or(0, |partial| partial.tokens)
+        self.submission.prompt_tokens + self.submission.partial.map_or(0, |partial| partial.tokens)
     }
 }
 
@@ -141,22 +141,25 @@
 }
 
 impl ReferenceModel {
-    fn arrive(&mut self, ask: Ask) {
-        let busy = self
-            .waiting
-            .iter()
-            .any(|w| w.ask.tier == ask.tier && w.ask.customer == ask.customer);
-        let tier_virtual_time = self.tier_virtual_time.get(&ask.tier).copied().unwrap_or(0);
+    fn arrive(&mut self, submission: Submission) {
+        let busy = self.waiting.iter().any(|w| {
+            w.submission.tier == submission.tier && w.submission.customer == submission.customer
+        });
+        let tier_virtual_time = self
+            .tier_virtual_time
+            .get(&submission.tier)
+            .copied()
+            .unwrap_or(0);
         let customer_virtual_time = self
             .customer_virtual_time
-            .entry((ask.tier, ask.customer.clone()))
+            .entry((submission.tier, submission.customer.clone()))
             .or_default();
         if !busy {
             *customer_virtual_time = tier_virtual_time.max(*customer_virtual_time);
         }
         self.sequence += 1;
         self.waiting.push(Waiting {
-            ask,
+            submission,
             sequence: self.sequence,
         });
     }
@@ -165,13 +168,13 @@
         let index = self
             .waiting
             .iter()
-            .position(|w| w.ask.request == request)
+            .position(|w| w.submission.request == request)
             .unwrap();
         self.waiting.remove(index)
     }
 
     fn customer_virtual_time(&self, waiting: &Waiting) -> u64 {
-        self.customer_virtual_time[&(waiting.ask.tier, waiting.ask.customer.clone())]
+        self.customer_virtual_time[&(waiting.submission.tier, waiting.submission.customer.clone())]
     }
 
     /// Returns all queued requests in dispatch order.
@@ -179,8 +182,8 @@
         let mut sorted: Vec<&Waiting> = self.waiting.iter().collect();
         sorted.sort_by_key(|w| {
             (
-                w.ask.tier,
-                w.ask.partial.is_none(),
+                w.submission.tier,
+                w.submission.partial.is_none(),
                 self.customer_virtual_time(w),
                 w.sequence,
             )
@@ -203,7 +206,7 @@
             .iter()
             .filter(|t| pending_prefill(&t.id).any(|p| p >= LONG_PROMPT_TOKENS))
             .count();
-        let urgent = waiting.ask.tier == 0;
+        let urgent = waiting.submission.tier == 0;
         let headroom = if slots > 1 { slots.div_ceil(8) } else { 0 };
         let long_prompt_targets = (live.len() - live.len() / 4).max(1);
         let full = taken + headroom >= slots || (waiting.is_long() && long >= long_prompt_targets);
@@ -215,7 +218,7 @@
             running_on(&t.id).count() as u32 + reserved < t.slots
                 && pending_prefill(&t.id).sum::<u32>() < 8192
                 && !waiting
-                    .ask
+                    .submission
                     .exclusions
                     .contains(&TargetInstance::from(&*t.id))
         });
@@ -228,8 +231,8 @@
         let mut blocked = BTreeSet::new();
         for waiting in self.sorted() {
             let customer_lane = (
-                waiting.ask.tier,
-                waiting.ask.customer.clone(),
+                waiting.submission.tier,
+                waiting.submission.customer.clone(),
                 waiting.lane(),
             );
             if !blocked.insert(customer_lane) {
@@ -237,7 +240,7 @@
             }
             let eligible = self.eligible(waiting, targets);
             if !eligible.is_empty() {
-                return Some((waiting.ask.request.clone(), eligible));
+                return Some((waiting.submission.request.clone(), eligible));
             }
         }
         None
@@ -247,19 +250,19 @@
         let waiting = self
             .waiting
             .iter()
-            .find(|w| w.ask.request == request)
+            .find(|w| w.submission.request == request)
             .unwrap();
         let (key, tokens) = (
-            (waiting.ask.tier, waiting.ask.customer.clone()),
+            (waiting.submission.tier, waiting.submission.customer.clone()),
             waiting.tokens(),
         );
         let customer_virtual_time = self.customer_virtual_time.get_mut(&key).unwrap();
         let tier_virtual_time = self.tier_virtual_time.entry(key.0).or_default();
         *tier_virtual_time = (*tier_virtual_time).max(*customer_virtual_time);
-        *customer_virtual_time += tokens * 1024 / u64::from(waiting.ask.weight);
-        let ask = self.remove(request).ask;
+        *customer_virtual_time += tokens * 1024 / u64::from(waiting.submission.weight);
+        let submission = self.remove(request).submission;
         self.running.push(Running {
-            ask,
+            submission,
             prefilled: false,
             target: target.to_owned(),
         });
@@ -268,22 +271,32 @@
     /// Returns the request to shed: in the lowest tier, the newest one of the customer with the largest
     /// backlog by weight.
     fn victim(&self) -> String {
-        let tier = self.waiting.iter().map(|w| w.ask.tier).max().unwrap();
-        let candidates: Vec<&Waiting> =
-            self.waiting.iter().filter(|w| w.ask.tier == tier).collect();
+        let tier = self
+            .waiting
+            .iter()
+            .map(|w| w.submission.tier)
+            .max()
+            .unwrap();
+        let candidates: Vec<&Waiting> = self
+            .waiting
+            .iter()
+            .filter(|w| w.submission.tier == tier)
+            .collect();
         let backlog = |customer: &str| {
-            let own = candidates.iter().filter(|w| w.ask.customer == customer);
+            let own = candidates
+                .iter()
+                .filter(|w| w.submission.customer == customer);
             own.map(|w| w.tokens()).sum::<u64>() * 1024
         };
         let key = |w: &&&Waiting| {
-            let excess = backlog(&w.ask.customer) / u64::from(w.ask.weight);
-            (excess, w.ask.customer.clone(), w.sequence)
+            let excess = backlog(&w.submission.customer) / u64::from(w.submission.weight);
+            (excess, w.submission.customer.clone(), w.sequence)
         };
         candidates
             .iter()
             .max_by_key(key)
             .unwrap()
-            .ask
+            .submission
             .request
             .clone()
     }
@@ -306,20 +319,20 @@
             max_tokens,
             tier,
         } => {
-            let mut ask = dispatch_harness::ask(&format!("r{id}"), *tier);
-            ask.partial = partial.then_some(PARTIAL);
-            ask.customer = format!("c{customer}");
-            ask.exclusions = exclude
+            let mut submission = dispatch_harness::submission(&format!("r{id}"), *tier);
+            submission.partial = partial.then_some(PARTIAL);
+            submission.customer = format!("c{customer}");
+            submission.exclusions = exclude
                 .iter()
                 .map(|i| TargetInstance::from(&*format!("t{i}")))
                 .collect();
-            ask.max_tokens = u32::from(*max_tokens);
-            ask.prompt_tokens = if *long {
+            submission.max_tokens = u32::from(*max_tokens);
+            submission.prompt_tokens = if *long {
                 LONG_PROMPT_TOKENS
             } else {
-                ask.prompt_tokens
+                submission.prompt_tokens
             };
-            ask.weight = 1 + u32::from(customer % 2);
+            submission.weight = 1 + u32::from(customer % 2);
             let live = harness
                 .pool
                 .targets
@@ -327,21 +340,24 @@
                 .filter(|t| t.state == TargetState::Live);
             if live
                 .clone()
-                .any(|t| !ask.exclusions.contains(&TargetInstance::of(t)))
+                .any(|t| !submission.exclusions.contains(&TargetInstance::of(t)))
             {
-                model.arrive(ask.clone());
+                model.arrive(submission.clone());
             }
-            harness.ask(ask);
+            harness.submit(submission);
         }
         Op::Cancel { nth } if !model.waiting.is_empty() => {
             let nth = nth % model.waiting.len();
-            let request = model.waiting[nth].ask.request.clone();
+            let request = model.waiting[nth].submission.request.clone();
             model.remove(&request);
-            harness.dispatcher.cancel(&Cancel { ask: 1, request });
+            harness.dispatcher.cancel(&Cancel {
+                submission: 1,
+                request,
+            });
         }
         Op::End { nth } if !model.running.is_empty() => {
             let ended = model.running.remove(nth % model.running.len());
-            harness.end(&ended.ask.request, &ended.target);
+            harness.end(&ended.submission.request, &ended.target);
         }
         Op::FirstToken { nth } if !model.running.is_empty() => {
             let nth = nth % model.running.len();
@@ -349,13 +365,13 @@
             running.prefilled = true;
             let after = Duration::from_millis(100);
             let kind = ReportKind::FirstToken { after };
-            harness.report(&running.ask.request, &running.target, kind);
+            harness.report(&running.submission.request, &running.target, kind);
         }
         Op::Leave { target } => harness.set_state(*target, TargetState::Draining),
         Op::Return { target } => harness.set_state(*target, TargetState::Live),
         Op::Slow { nth } if !model.running.is_empty() => {
             let running = &model.running[nth % model.running.len()];
-            let (request, target) = (running.ask.request.clone(), running.target.clone());
+            let (request, target) = (running.submission.request.clone(), running.target.clone());
             for step_ms in [8; 20].into_iter().chain([80; 3]) {
                 harness.report_steps(&request, &target, step_ms, 1);
                 check(harness, model)?;
@@ -382,7 +398,9 @@
                 shed.push(refuse.request);
             }
             Verdict::Refuse(refuse) if refuse.kind == ErrorKind::NoTarget => {
-                model.waiting.retain(|w| w.ask.request != refuse.request);
+                model
+                    .waiting
+                    .retain(|w| w.submission.request != refuse.request);
             }
             Verdict::Refuse(_) => {}
         }
@@ -406,8 +424,8 @@
     while model.waiting.len() > WAITING_LIMIT {
         let victim = model.victim();
         let removed = model.remove(&victim);
-        let lowest = model.waiting.iter().map(|w| w.ask.tier).max();
-        if lowest > Some(removed.ask.tier) {
+        let lowest = model.waiting.iter().map(|w| w.submission.tier).max();
+        if lowest > Some(removed.submission.tier) {
             return Err(format!("{victim} shed before lower-tier work"));
         }
         let index = shed.iter().position(|request| *request == victim);
--- a/crates/lilaccrank/tests/suite/dispatch_overload.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_overload.rs
@@ -3,13 +3,13 @@
 use std::time::{Duration, Instant};
 
 use lilaccrank::dispatch::drain_rate::DrainRate;
-use lilaccrank::dispatch::message::{Ask, Outcome, ReportKind, Verdict};
+use lilaccrank::dispatch::message::{Outcome, ReportKind, Submission, Verdict};
 use lilaccrank::document::Limit;
 use lilaccrank::error_kind::ErrorKind;
 
 use crate::dispatch_fixtures::{
-    CONCURRENCY_LIMIT, MIN_HANG_TIMEOUT, ask, ask_with_limit, ask_with_long_prompt, granted,
-    harness, refused, with_deadline,
+    CONCURRENCY_LIMIT, MIN_HANG_TIMEOUT, granted, harness, refused, submission,
+    submission_with_limit, submission_with_long_prompt, with_deadline,
 };
 use crate::dispatch_harness::Harness;
 
@@ -20,18 +20,28 @@
         fn $name() {
             let mut harness = Harness::new(&[1], 2, MIN_HANG_TIMEOUT);
             for request in ["runs", "first", "second"] {
-                harness.ask(ask(request, $low));
+                harness.submit(submission(request, $low));
             }
             harness.verdicts();
-            harness.ask(ask("new", $new));
+            harness.submit(submission("new", $new));
             assert_eq!(harness.refusals(), refused($refused, ErrorKind::Overloaded));
         }
     };
 }
 
-full_queue!(waiting_bulk_is_shed_for_an_urgent_ask, 3, 0, "second");
-full_queue!(new_bulk_is_shed_before_waiting_urgent_asks, 0, 3, "new");
-full_queue!(newest_ask_of_one_customer_is_shed, 2, 2, "new");
+full_queue!(
+    waiting_bulk_is_shed_for_an_urgent_submission,
+    3,
+    0,
+    "second"
+);
+full_queue!(
+    new_bulk_is_shed_before_waiting_urgent_submissions,
+    0,
+    3,
+    "new"
+);
+full_queue!(newest_submission_of_one_customer_is_shed, 2, 2, "new");
 
 // Guards against shedding the newest request of the queue: after a burst of a large customer has
 // filled it, a small customer's request would be refused.
@@ -39,14 +49,14 @@
 fn burst_sheds_only_its_own_customer() {
     let mut harness = Harness::new(&[1], 10, MIN_HANG_TIMEOUT);
     for i in 0..11 {
-        harness.ask(ask(&format!("large{i}"), 2));
+        harness.submit(submission(&format!("large{i}"), 2));
     }
     harness.verdicts();
-    let small = Ask {
+    let small = Submission {
         customer: "small".to_owned(),
-        ..ask("small", 2)
+        ..submission("small", 2)
     };
-    harness.ask(small);
+    harness.submit(small);
     assert_eq!(
         harness.refusals(),
         refused("large10", ErrorKind::Overloaded)
@@ -61,13 +71,13 @@
     let mut harness = harness(&[1]);
     for i in 0..5 {
         let customer = "large".to_owned();
-        harness.ask(Ask {
+        harness.submit(Submission {
             customer,
-            ..ask_with_long_prompt(&format!("survey{i}"), 2)
+            ..submission_with_long_prompt(&format!("survey{i}"), 2)
         });
     }
     for i in 0..20 {
-        harness.ask(ask(&format!("ping{i}"), 2));
+        harness.submit(submission(&format!("ping{i}"), 2));
     }
     let mut order = harness.grants();
     while order.len() < 25 {
@@ -89,10 +99,10 @@
 fn slots_are_reserved_for_urgent_work() {
     let mut harness = harness(&[8, 8]);
     for i in 0..40 {
-        harness.ask(ask(&format!("bulk{i}"), 3));
+        harness.submit(submission(&format!("bulk{i}"), 3));
     }
     assert_eq!(harness.grants().len(), 14);
-    harness.ask(ask("urgent", 0));
+    harness.submit(submission("urgent", 0));
     assert_eq!(harness.grants().len(), 1);
 }
 
@@ -102,7 +112,7 @@
 fn targets_are_kept_free_of_long_prompts() {
     let mut harness = harness(&[8, 8, 8, 8]);
     for i in 0..8 {
-        harness.ask(ask_with_long_prompt(&format!("survey{i}"), 3));
+        harness.submit(submission_with_long_prompt(&format!("survey{i}"), 3));
     }
     let mut busy: Vec<String> = harness
         .grants()
@@ -111,7 +121,7 @@
         .collect();
     busy.sort();
     assert_eq!(busy, ["t0", "t1", "t2"]);
-    harness.ask(ask("ping", 1));
+    harness.submit(submission("ping", 1));
     assert_eq!(harness.grants(), granted("ping", "t3"));
 }
 
@@ -120,8 +130,8 @@
 #[test]
 fn deadline_is_checked_again_at_the_grant() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("runs", 0));
-    harness.ask(with_deadline(4, ask_with_long_prompt("late", 0)));
+    harness.submit(submission("runs", 0));
+    harness.submit(with_deadline(4, submission_with_long_prompt("late", 0)));
     harness.advance(Duration::from_secs(3));
     assert_eq!(harness.refusals(), []);
     harness.end("runs", "t0");
@@ -137,13 +147,13 @@
 fn own_grants_count_before_the_target_reports_them() {
     let mut harness = harness(&[8, 8]);
     let prompt_tokens = 7000;
-    harness.ask(Ask {
+    harness.submit(Submission {
         prompt_tokens,
-        ..ask("survey", 0)
+        ..submission("survey", 0)
     });
     assert_eq!(harness.grants(), granted("survey", "t0"));
     for request in ["a", "b", "c"] {
-        harness.ask(ask(request, 0));
+        harness.submit(submission(request, 0));
         assert_eq!(harness.grants(), granted(request, "t1"));
     }
 }
@@ -154,13 +164,13 @@
 fn zero_wait_allows_immediate_dispatch() {
     let mut harness = harness(&[1]);
     let wait_at_most = Some(Duration::ZERO);
-    let ask_with_zero_wait = |request: &str| Ask {
+    let submission_with_zero_wait = |request: &str| Submission {
         wait_at_most,
-        ..ask(request, 0)
+        ..submission(request, 0)
     };
-    harness.ask(ask_with_zero_wait("goes"));
+    harness.submit(submission_with_zero_wait("goes"));
     assert_eq!(harness.grants(), granted("goes", "t0"));
-    harness.ask(ask_with_zero_wait("late"));
+    harness.submit(submission_with_zero_wait("late"));
     harness.advance(Duration::from_millis(100));
     let kind = ErrorKind::DeadlineUnmeetable;
     assert_eq!(harness.refusals(), refused("late", kind));
@@ -171,32 +181,32 @@
 #[test]
 fn unmeetable_deadline_is_refused_on_arrival() {
     let mut harness = harness(&[1]);
-    let limit = ask_with_limit("counts", RATE_LIMIT).limit;
-    harness.ask(with_deadline(
+    let limit = submission_with_limit("counts", RATE_LIMIT).limit;
+    harness.submit(with_deadline(
         1,
-        Ask {
+        Submission {
             limit,
-            ..ask_with_long_prompt("survey", 3)
+            ..submission_with_long_prompt("survey", 3)
         },
     ));
     assert_eq!(
         harness.refusals(),
         refused("survey", ErrorKind::DeadlineUnmeetable)
     );
-    harness.ask(ask_with_limit("counts", RATE_LIMIT));
+    harness.submit(submission_with_limit("counts", RATE_LIMIT));
     assert_eq!(
         harness.grants(),
         granted("counts", "t0"),
         "the refused request did not count"
     );
     harness.end("counts", "t0");
-    harness.ask(ask("runs", 0));
+    harness.submit(submission("runs", 0));
     harness.verdicts();
     for i in 0..25 {
-        harness.ask(ask_with_long_prompt(&format!("survey{i}"), 3));
+        harness.submit(submission_with_long_prompt(&format!("survey{i}"), 3));
     }
-    harness.ask(with_deadline(20, ask("lowest", 3)));
-    harness.ask(with_deadline(5, ask("higher", 2)));
+    harness.submit(with_deadline(20, submission("lowest", 3)));
+    harness.submit(with_deadline(5, submission("higher", 2)));
     let refusals = harness.refusals();
     let kind = ErrorKind::DeadlineUnmeetable;
     assert_eq!(refusals, [("lowest".to_owned(), kind)]);
@@ -216,9 +226,9 @@
             let mut harness = harness(&[8]);
             for (i, customer) in $customers.into_iter().enumerate() {
                 let customer = str::to_owned(customer);
-                harness.ask(Ask {
+                harness.submit(Submission {
                     customer,
-                    ..ask_with_limit(&format!("r{i}"), $limit)
+                    ..submission_with_limit(&format!("r{i}"), $limit)
                 });
             }
             let refusals = harness.refusals().into_iter();
@@ -262,7 +272,7 @@
     let mut harness = harness(&[1]);
     for i in 0..3 {
         let request = format!("r{i}");
-        harness.ask(ask_with_limit(&request, CONCURRENCY_LIMIT));
+        harness.submit(submission_with_limit(&request, CONCURRENCY_LIMIT));
         assert_eq!(harness.grants(), granted(&request, "t0"));
         let outcome = [Outcome::Complete, Outcome::Failed, Outcome::Unused][i];
         let kind = ReportKind::Ended {
@@ -295,7 +305,7 @@
 fn retry_after_is_spread_out() {
     let mut harness = Harness::new(&[1], 1, MIN_HANG_TIMEOUT);
     for i in 0..101 {
-        harness.ask(ask(&format!("r{i}"), 3));
+        harness.submit(submission(&format!("r{i}"), 3));
     }
     let retry = |verdict: &Verdict| match verdict {
         Verdict::Grant(_) => None,
--- a/crates/lilaccrank/tests/suite/dispatch_restarts.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_restarts.rs
@@ -7,7 +7,7 @@
 use lilaccrank::dispatch::sharing::{Digest, Observation, Sample, TargetLoad};
 use lilaccrank::target_instance::TargetInstance;
 
-use crate::dispatch_fixtures::{ask, granted, harness};
+use crate::dispatch_fixtures::{granted, harness, submission};
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
 
 /// Start time of the restarted target, in milliseconds.
@@ -24,15 +24,15 @@
 #[test]
 fn restart_frees_the_slots() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("old", 0));
+    harness.submit(submission("old", 0));
     assert_eq!(harness.grants(), granted("old", "t0"));
-    harness.ask(ask("new", 0));
+    harness.submit(submission("new", 0));
     assert_eq!(harness.grants(), []);
     restart_target(&mut harness);
     assert_eq!(harness.grants(), granted("new", "t0"));
     // The end of the request from before the restart releases no slot of the restarted target.
     harness.end("old", "t0");
-    harness.ask(ask("third", 0));
+    harness.submit(submission("third", 0));
     assert_eq!(harness.grants(), []);
 }
 
@@ -61,7 +61,7 @@
         whole: true,
     };
     harness.dispatcher.apply_digest(&"vm2".to_owned(), stale);
-    harness.ask(ask("new", 0));
+    harness.submit(submission("new", 0));
     assert_eq!(harness.grants(), granted("new", "t0"));
 }
 
@@ -74,7 +74,7 @@
     let initial = harness.dispatcher.status().targets[0].clone();
     for number in 0..40 {
         let request = format!("r{number}");
-        harness.ask(ask(&request, 0));
+        harness.submit(submission(&request, 0));
         harness.verdicts();
         let step = Duration::from_millis(if number < 30 { 10 } else { 400 });
         harness.report(&request, "t0", ReportKind::FirstToken { after: step * 10 });
@@ -84,7 +84,7 @@
     harness
         .dispatcher
         .cache_events(&life, 1, &[CacheEvent::Stored(7)]);
-    harness.ask(ask("hangs", 0));
+    harness.submit(submission("hangs", 0));
     harness.verdicts();
     harness.advance(Duration::from_secs(60));
     let degraded = harness.dispatcher.status().targets[0].clone();
@@ -103,7 +103,7 @@
 #[test]
 fn late_reports_from_before_a_restart_are_ignored() {
     let mut harness = harness(&[2]);
-    harness.ask(ask("old", 0));
+    harness.submit(submission("old", 0));
     harness.verdicts();
     restart_target(&mut harness);
     let before = harness.dispatcher.status().targets.clone();
--- a/crates/lilaccrank/tests/suite/dispatch_resumed.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_resumed.rs
@@ -2,35 +2,35 @@
 
 use std::time::{Duration, Instant};
 
-use lilaccrank::dispatch::message::{Ask, PartialAnswer};
+use lilaccrank::dispatch::message::{PartialAnswer, Submission};
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::stream_progress::StreamProgress;
 
-use crate::dispatch_fixtures::{ask, granted, harness, refused};
+use crate::dispatch_fixtures::{granted, harness, refused, submission};
 use crate::dispatch_harness::Harness;
 
 /// First-token objective of the asks.
 const OBJECTIVE: Duration = Duration::from_secs(1);
 
 /// Returns an ask with a first-token objective and a deadline of 10 s.
-fn ask_with_objective(request: &str, tier: u8) -> Ask {
-    Ask {
+fn submission_with_objective(request: &str, tier: u8) -> Submission {
+    Submission {
         deadline: Some(Duration::from_secs(10)),
         objective: Some(OBJECTIVE),
         max_tokens: 2_000,
-        ..ask(request, tier)
+        ..submission(request, tier)
     }
 }
 
 /// Returns an ask to resume an answer after 400 tokens. `remaining` is the time in seconds that its
 /// current target would need for the rest.
-fn ask_to_resume(request: &str, tier: u8, remaining: Option<u64>) -> Ask {
-    Ask {
+fn submission_to_resume(request: &str, tier: u8, remaining: Option<u64>) -> Submission {
+    Submission {
         partial: Some(PartialAnswer {
             remaining: remaining.map(Duration::from_secs),
             tokens: 400,
         }),
-        ..ask_with_objective(request, tier)
+        ..submission_with_objective(request, tier)
     }
 }
 
@@ -38,9 +38,9 @@
 fn teach_step_time(harness: &mut Harness, target: &str, step_ms: u64) {
     let request = format!("seen on {target}");
     let others = ["t0", "t1"].into_iter().filter(|other| *other != target);
-    harness.ask(Ask {
+    harness.submit(Submission {
         exclusions: others.map(Into::into).collect(),
-        ..ask(&request, 0)
+        ..submission(&request, 0)
     });
     assert_eq!(harness.grants(), granted(&request, target));
     harness.report_steps(&request, target, step_ms, 60);
@@ -50,12 +50,12 @@
 // Guards against a broken stream that waits behind new requests of its tier until its caller gives up,
 // although it has part of the answer.
 #[test]
-fn resumed_answer_goes_before_new_asks() {
+fn resumed_answer_goes_before_new_submissions() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("runs", 0));
+    harness.submit(submission("runs", 0));
     assert_eq!(harness.grants(), granted("runs", "t0"));
-    harness.ask(ask_with_objective("new", 1));
-    harness.ask(ask_to_resume("broken", 1, None));
+    harness.submit(submission_with_objective("new", 1));
+    harness.submit(submission_to_resume("broken", 1, None));
     harness.end("runs", "t0");
     assert_eq!(harness.grants(), granted("broken", "t0"));
 }
@@ -64,10 +64,10 @@
 #[test]
 fn earlier_tier_goes_before_a_resumed_answer() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("runs", 0));
+    harness.submit(submission("runs", 0));
     assert_eq!(harness.grants(), granted("runs", "t0"));
-    harness.ask(ask_to_resume("broken", 1, None));
-    harness.ask(ask_with_objective("urgent", 0));
+    harness.submit(submission_to_resume("broken", 1, None));
+    harness.submit(submission_with_objective("urgent", 0));
     harness.end("runs", "t0");
     assert_eq!(harness.grants(), granted("urgent", "t0"));
 }
@@ -78,12 +78,12 @@
     let mut harness = harness(&[8, 1]);
     teach_step_time(&mut harness, "t0", 20);
     teach_step_time(&mut harness, "t1", 5);
-    harness.ask(Ask {
+    harness.submit(Submission {
         exclusions: vec!["t0".into()],
-        ..ask("fills", 0)
+        ..submission("fills", 0)
     });
     assert_eq!(harness.grants(), granted("fills", "t1"));
-    harness.ask(ask_to_resume("long", 0, Some(12)));
+    harness.submit(submission_to_resume("long", 0, Some(12)));
     harness.advance(3 * OBJECTIVE);
     assert_eq!(harness.verdicts(), []);
     harness.end("fills", "t1");
@@ -96,7 +96,7 @@
     let mut harness = harness(&[8, 8]);
     teach_step_time(&mut harness, "t0", 20);
     teach_step_time(&mut harness, "t1", 20);
-    harness.ask(ask_to_resume("long", 0, Some(12)));
+    harness.submit(submission_to_resume("long", 0, Some(12)));
     harness.advance(Duration::from_millis(9_900));
     assert_eq!(harness.verdicts(), []);
     harness.advance(Duration::from_millis(200));
--- a/crates/lilaccrank/tests/suite/dispatch_sharing.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_sharing.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-use lilaccrank::dispatch::message::{Ask, Outcome, ReportKind};
+use lilaccrank::dispatch::message::{Outcome, ReportKind, Submission};
 use lilaccrank::dispatch::sharing::{Digest, Observation, Sample};
 
 use crate::dispatch_fixtures::{
-    FIRST_TOKEN, ask, ask_with_objective, deliver_digest, digest, empty_digest, granted, harness,
-    target_digest,
+    FIRST_TOKEN, deliver_digest, digest, empty_digest, granted, harness, submission,
+    submission_with_objective, target_digest,
 };
 
 // Guards against two daemons that send to the same engine at once, whose requests then wait there. The
@@ -16,7 +16,7 @@
 fn peer_load_counts() {
     let mut harness = harness(&[8, 8]);
     deliver_digest(&harness, "vm2", digest("t0", 7, 700));
-    harness.ask(ask("a", 0));
+    harness.submit(submission("a", 0));
     assert_eq!(harness.grants(), granted("a", "t1"));
 }
 
@@ -26,7 +26,7 @@
 fn digest_replaces_the_previous_one() {
     let mut harness = harness(&[2]);
     deliver_digest(&harness, "vm2", digest("t0", 2, 0));
-    harness.ask(ask_with_objective("waits", 0));
+    harness.submit(submission_with_objective("waits", 0));
     assert_eq!(harness.grants(), []);
     deliver_digest(&harness, "vm2", empty_digest());
     assert_eq!(harness.grants(), granted("waits", "t0"));
@@ -38,9 +38,9 @@
 fn a_silent_peer_is_forgotten() {
     let mut harness = harness(&[2]);
     deliver_digest(&harness, "vm2", digest("t0", 2, 0));
-    harness.ask(Ask {
+    harness.submit(Submission {
         objective: Some(Duration::from_secs(5)),
-        ..ask_with_objective("waits", 0)
+        ..submission_with_objective("waits", 0)
     });
     harness.advance(Duration::from_millis(1_400));
     assert_eq!(harness.grants(), []);
@@ -71,7 +71,7 @@
             },
         );
     }
-    harness.ask(ask("a", 0));
+    harness.submit(submission("a", 0));
     assert_eq!(harness.grants(), granted("a", "t1"));
 }
 
@@ -95,7 +95,7 @@
             },
         );
     }
-    harness.ask(ask("a", 0));
+    harness.submit(submission("a", 0));
     assert_eq!(harness.grants(), granted("a", "t1"));
 }
 
@@ -103,7 +103,7 @@
 #[test]
 fn digest_contains_loads_and_new_samples() {
     let mut harness = harness(&[8]);
-    harness.ask(ask("a", 0));
+    harness.submit(submission("a", 0));
     harness.verdicts();
     let after = Duration::from_millis(40);
     harness.report("a", "t0", ReportKind::FirstToken { after });
@@ -132,8 +132,8 @@
 #[test]
 fn changes_are_sent_three_times_and_full_digests_periodically() {
     let mut harness = harness(&[8, 8]);
-    harness.ask(ask("a", 0));
-    harness.ask(ask("b", 0));
+    harness.submit(submission("a", 0));
+    harness.submit(submission("b", 0));
     harness.verdicts();
     let load_counts: Vec<_> = (0..5)
         .map(|_| harness.dispatcher.digest().loads.len())
@@ -156,13 +156,13 @@
 fn full_digest_makes_up_for_lost_ones() {
     let mut sender = harness(&[1]);
     let mut receiver = harness(&[1]);
-    sender.ask(ask("a", 0));
+    sender.submit(submission("a", 0));
     deliver_digest(&receiver, "vm2", sender.dispatcher.digest());
     sender.end("a", "t0");
     for _ in 0..3 {
         let _ = sender.dispatcher.digest();
     }
-    receiver.ask(ask_with_objective("waits", 0));
+    receiver.submit(submission_with_objective("waits", 0));
     deliver_digest(&receiver, "vm2", sender.dispatcher.digest());
     assert_eq!(receiver.grants(), []);
     sender.advance(Duration::from_millis(250));
@@ -177,7 +177,7 @@
     let mut harness = harness(&[4]);
     let mut urgent = Vec::new();
     for request in ["a", "b", "c", "d", "e"] {
-        harness.ask(ask_with_objective(request, 0));
+        harness.submit(submission_with_objective(request, 0));
         harness.verdicts();
         urgent.push(harness.dispatcher.has_urgent_changes());
         let _ = harness.dispatcher.digest();
--- a/crates/lilaccrank/tests/suite/dispatch_spread.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_spread.rs
@@ -9,7 +9,8 @@
 use lilaccrank::document::Target;
 
 use crate::dispatch_fixtures::{
-    ask_with_objective, deliver_digest, digest, empty_digest, granted, harness, target_digest,
+    deliver_digest, digest, empty_digest, granted, harness, submission_with_objective,
+    target_digest,
 };
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
 
@@ -29,7 +30,7 @@
         harness.pool.targets = ids.iter().map(target).collect();
         order(&mut harness.pool.targets, &format!("vm{daemon}"));
         harness.dispatcher.set_targets(&harness.pool, DATA_CENTRE);
-        harness.ask(ask_with_objective("first", 0));
+        harness.submit(submission_with_objective("first", 0));
         let (_, target) = harness.grants().remove(0);
         *sent.entry(target).or_default() += 1;
     }
@@ -58,7 +59,7 @@
         let mut daemons: Vec<Harness> = (0..8).map(new).collect();
         for (i, daemon) in daemons.iter_mut().enumerate() {
             deliver_digest(daemon, "holder", digest("t0", 1, 100));
-            daemon.ask(ask_with_objective(&format!("of {i}"), tier_of(i)));
+            daemon.submit(submission_with_objective(&format!("of {i}"), tier_of(i)));
             assert_eq!(daemon.grants(), []);
         }
         let waiting = Self { daemons };
@@ -123,10 +124,10 @@
 // Guards against a slot left to a peer's urgent request whose caller has disconnected since. Another
 // daemon takes it shortly after.
 #[test]
-fn slot_left_to_a_cancelled_ask_is_taken() {
+fn slot_left_to_a_cancelled_submission_is_taken() {
     let mut harness = harness(&[1]);
     deliver_digest(&harness, "holder", digest("t0", 1, 100));
-    harness.ask(ask_with_objective("report", 1));
+    harness.submit(submission_with_objective("report", 1));
     let peer_digest = Digest {
         waiting: Some(Priority::default()),
         ..Digest::default()
@@ -147,12 +148,12 @@
             let mut harness = harness(&[20]);
             for tier in 0..3 {
                 let id = format!("seen {tier}");
-                harness.ask(ask_with_objective(&id, tier));
+                harness.submit(submission_with_objective(&id, tier));
                 harness.verdicts();
                 harness.end(&id, "t0");
             }
             deliver_digest(&harness, "vm2", digest("t0", 1, $tokens));
-            harness.ask(ask_with_objective("a", $tier));
+            harness.submit(submission_with_objective("a", $tier));
             assert_eq!(harness.grants().len(), usize::from($is_granted));
         }
     };
@@ -193,7 +194,7 @@
             ..Digest::default()
         };
         deliver_digest(&harness, "holder", peer_digest);
-        harness.ask(ask_with_objective("a", 0));
+        harness.submit(submission_with_objective("a", 0));
         let (_, target) = harness.grants().remove(0);
         *sent.entry(target).or_default() += 1;
     }
--- a/crates/lilaccrank/tests/suite/dispatch_waits.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_waits.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use lilaccrank::dispatch::message::Ask;
+use lilaccrank::dispatch::message::Submission;
 use lilaccrank::error_kind::ErrorKind;
 
-use crate::dispatch_fixtures::{ask, ask_with_objective, harness, refused};
+use crate::dispatch_fixtures::{harness, refused, submission, submission_with_objective};
 use crate::dispatch_harness::Harness;
 
 /// Checks how many of a target's seven slots a tier fills, some time after requests of other tiers.
@@ -16,13 +16,13 @@
             let mut harness = harness(&[7]);
             for other in $others {
                 let id = format!("other {other}");
-                harness.ask(ask_with_objective(&id, other));
+                harness.submit(submission_with_objective(&id, other));
                 harness.verdicts();
                 harness.end(&id, "t0");
             }
             harness.advance($elapsed);
             for i in 0..10 {
-                harness.ask(ask_with_objective(&format!("{i}"), $tier));
+                harness.submit(submission_with_objective(&format!("{i}"), $tier));
             }
             assert_eq!(harness.grants().len(), $slots);
         }
@@ -62,9 +62,9 @@
         #[test]
         fn $name() {
             let mut harness = harness(&[1]);
-            harness.ask(ask("runs", 0));
+            harness.submit(submission("runs", 0));
             harness.verdicts();
-            harness.ask(ask_with_objective("waits", $tier));
+            harness.submit(submission_with_objective("waits", $tier));
             harness.advance(Duration::from_millis($from));
             assert_eq!(harness.refusals(), []);
             harness.advance(Duration::from_millis($until - $from));
@@ -85,10 +85,10 @@
 /// been refused.
 fn harness_after_refused_waits() -> Harness {
     let mut harness = harness(&[1]);
-    harness.ask(ask("runs", 0));
+    harness.submit(submission("runs", 0));
     harness.verdicts();
     for i in 0..4 {
-        harness.ask(ask_with_objective(&format!("{i}"), 2));
+        harness.submit(submission_with_objective(&format!("{i}"), 2));
     }
     harness.advance(Duration::from_millis(950));
     assert_eq!(harness.refusals().len(), 4);
@@ -99,15 +99,15 @@
 // 0.9 s, is refused and retries with little time left. Once most waits end so, later requests are
 // refused at once. One still waits, to detect free slots.
 #[test]
-fn asks_are_refused_at_once_after_refused_waits() {
+fn submissions_are_refused_at_once_after_refused_waits() {
     let mut harness = harness_after_refused_waits();
-    harness.ask(ask_with_objective("looks", 2));
-    harness.ask(ask_with_objective("spared", 2));
+    harness.submit(submission_with_objective("looks", 2));
+    harness.submit(submission_with_objective("spared", 2));
     let kind = ErrorKind::DeadlineUnmeetable;
     assert_eq!(harness.refusals(), refused("spared", kind));
     harness.end("runs", "t0");
     assert_eq!(harness.grants()[0].0, "looks");
-    harness.ask(ask_with_objective("next", 2));
+    harness.submit(submission_with_objective("next", 2));
     assert_eq!(harness.refusals(), []);
 }
 
@@ -117,7 +117,7 @@
 fn the_first_tier_always_waits() {
     let mut harness = harness_after_refused_waits();
     for i in 0..4 {
-        harness.ask(ask_with_objective(&format!("urgent {i}"), 0));
+        harness.submit(submission_with_objective(&format!("urgent {i}"), 0));
     }
     assert_eq!(harness.refusals(), []);
 }
@@ -127,8 +127,8 @@
 fn refused_waits_expire() {
     let mut harness = harness_after_refused_waits();
     harness.advance(Duration::from_secs(3));
-    harness.ask(ask_with_objective("one", 2));
-    harness.ask(ask_with_objective("two", 2));
+    harness.submit(submission_with_objective("one", 2));
+    harness.submit(submission_with_objective("two", 2));
     assert_eq!(harness.refusals(), []);
 }
 
@@ -136,12 +136,12 @@
 #[test]
 fn ranks_go_before_tiers() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("runs", 0));
+    harness.submit(submission("runs", 0));
     harness.verdicts();
     for (request, rank, tier) in [("c", 1, 0), ("b", 0, 2), ("a", 0, 1)] {
-        harness.ask(Ask {
+        harness.submit(Submission {
             rank,
-            ..ask(request, tier)
+            ..submission(request, tier)
         });
     }
     let mut order = Vec::new();
--- a/crates/lilaccrank/tests/suite/pool_model/dispatcher_policy.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/dispatcher_policy.rs
@@ -8,7 +8,9 @@
 use futures::task::LocalSpawnExt;
 use indexmap::IndexMap;
 use lilaccrank::clock::Clock;
-use lilaccrank::dispatch::message::{Ask, Outcome, PartialAnswer, Report, ReportKind, Verdict};
+use lilaccrank::dispatch::message::{
+    Outcome, PartialAnswer, Report, ReportKind, Submission, Verdict,
+};
 use lilaccrank::dispatch::{Config, Dispatcher};
 use lilaccrank::document::{Pool, Target};
 use lilaccrank::paused_clock::PausedClock;
@@ -118,10 +120,10 @@
 }
 
 impl DispatcherPolicy {
-    fn ask(&self, request: &Request, now: u64) -> Ask {
+    fn submission(&self, request: &Request, now: u64) -> Submission {
         let time_left = |ms: u64| Duration::from_millis((request.arrived + ms).saturating_sub(now));
-        Ask {
-            ask: 1,
+        Submission {
+            submission: 1,
             customer: "depot".to_owned(),
             deadline: Some(time_left(request.kind.deadline_ms())),
             entry: format!("vm{}", request.daemon),
@@ -132,15 +134,15 @@
             request: request.id.to_string(),
             tier: request.kind.tier(),
             weight: 1,
-            ..Ask::default()
+            ..Submission::default()
         }
     }
 
-    fn send(&self, daemon: usize, ask: Ask) {
+    fn send(&self, daemon: usize, submission: Submission) {
         let dispatcher = self.daemons[daemon].clone();
         let verdicts = Rc::clone(&self.verdicts);
         let call = async move {
-            let verdict = dispatcher.ask(ask).await;
+            let verdict = dispatcher.submit(submission).await;
             verdicts.borrow_mut().push(verdict);
         };
         self.spawner.spawn_local(call).unwrap();
@@ -149,7 +151,7 @@
     /// Asks for another engine for each answer that is projected to miss its deadline.
     fn request_migrations(&mut self, now: u64) {
         let at = self.clock.now();
-        let mut asks = Vec::new();
+        let mut submissions = Vec::new();
         for running in self.running.values_mut() {
             let is_due = at >= running.checked_at + stream_progress::CHECK_INTERVAL;
             if running.migration != Migration::NotRequested || !is_due {
@@ -164,24 +166,24 @@
                 remaining: Some(remaining),
                 tokens: running.tokens,
             };
-            asks.push((running.request.clone(), running.engine, partial));
+            submissions.push((running.request.clone(), running.engine, partial));
         }
-        for (request, engine, partial) in asks {
-            let ask = Ask {
+        for (request, engine, partial) in submissions {
+            let submission = Submission {
                 partial: Some(partial),
                 exclusions: vec![TargetInstance::from(&*engine.to_string())],
                 request: format!("{}{MIGRATION_SUFFIX}", request.id),
-                ..self.ask(&request, now)
+                ..self.submission(&request, now)
             };
-            self.send(request.daemon, ask);
+            self.send(request.daemon, submission);
         }
     }
 
-    fn report(&self, request: &Request, ask_id: String, engine: usize, kind: ReportKind) {
+    fn report(&self, request: &Request, submission_id: String, engine: usize, kind: ReportKind) {
         self.daemons[request.daemon].report(&Report {
-            ask: 1,
+            submission: 1,
             kind,
-            request: ask_id,
+            request: submission_id,
             target: TargetInstance::from(&*engine.to_string()),
         });
     }
@@ -239,7 +241,7 @@
 
 impl Policy for DispatcherPolicy {
     fn arrive(&mut self, request: &Request, now: u64) {
-        self.send(request.daemon, self.ask(request, now));
+        self.send(request.daemon, self.submission(request, now));
     }
 
     fn decide(&mut self, _: &[Engine], now: u64) -> Vec<Decision> {
@@ -267,7 +269,7 @@
             request: request.clone(),
             tokens: 0,
         });
-        let ask_id = match running.migration {
+        let submission_id = match running.migration {
             Migration::Done => format!("{}{MIGRATION_SUFFIX}", request.id),
             Migration::Requested | Migration::NotRequested => request.id.to_string(),
         };
@@ -304,6 +306,6 @@
             self.running.swap_remove(&request.id);
             self.ended.insert(request.id, request.clone());
         }
-        self.report(request, ask_id, engine, kind);
+        self.report(request, submission_id, engine, kind);
     }
 }
--- a/crates/lilaccrank/tests/suite/rate_limit.rs
+++ b/crates/lilaccrank/tests/suite/rate_limit.rs
@@ -147,7 +147,7 @@
         let mut granted = 0;
         for (number, daemon) in self.daemons.iter_mut().enumerate() {
             self.requests += 1;
-            daemon.ask(dispatch_harness::ask(
+            daemon.submit(dispatch_harness::submission(
                 &format!("r{}", self.requests),
                 tier(number),
             ));
@@ -214,7 +214,7 @@
     for _ in 0..600 {
         cell.tick(|number| number as u8);
         for (count, daemon) in waiting_by_daemon.iter_mut().zip(&cell.daemons) {
-            *count = waiting_asks(daemon);
+            *count = waiting_submissions(daemon);
         }
     }
     assert!(
@@ -224,7 +224,7 @@
     assert_eq!(waiting_by_daemon[1], 600);
 }
 
-fn waiting_asks(daemon: &Harness) -> usize {
+fn waiting_submissions(daemon: &Harness) -> usize {
     let status = daemon.dispatcher.status();
     status.waiting.iter().map(|tier| tier.waiting).sum()
 }
--- a/crates/lilaccrankd/src/peers/message.rs
+++ b/crates/lilaccrankd/src/peers/message.rs
@@ -6,7 +6,7 @@
 use lilaccrank::advisories::sync;
 use lilaccrank::configuration::exchange;
 use lilaccrank::configuration::manifest::Identity;
-use lilaccrank::dispatch::message::{Ask, Cancel, Report, Resync, Verdict};
+use lilaccrank::dispatch::message::{Cancel, Report, Resync, Submission, Verdict};
 use lilaccrank::ids::{PoolId, VmId};
 use lilaccrank::request_key::{KeyReply, KeyRequest, MemberRef};
 use lilaccrank::timeline::Stamp;
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub enum PoolMessage {
     /// Entry to dispatcher.
-    Ask(Ask),
+    Ask(Submission),
     /// Entry to dispatcher.
     Cancel(Cancel),
     /// Entry to dispatcher.
--- a/crates/lilaccrankd/src/pools/client.rs
+++ b/crates/lilaccrankd/src/pools/client.rs
@@ -6,7 +6,7 @@
 use futures::channel::oneshot;
 use futures::future::{self, Either};
 use futures::pin_mut;
-use lilaccrank::dispatch::message::{Ask, Refuse, Verdict};
+use lilaccrank::dispatch::message::{Refuse, Submission, Verdict};
 use lilaccrank::ids::{PoolId, RequestId};
 use lilaccrank::peers::Peers;
 use lilaccrank::request_key::{MemberRef, Ranking};
@@ -34,7 +34,7 @@
 /// # Errors
 ///
 /// The dispatcher's refusal.
-pub async fn ask(daemon: &Rc<Daemon>, pool: &PoolId, ask: Ask) -> Result<HeldGrant, Refuse> {
+pub async fn ask(daemon: &Rc<Daemon>, pool: &PoolId, ask: Submission) -> Result<HeldGrant, Refuse> {
     let request = ask.request.clone();
     let (tx, mut rx) = oneshot::channel();
     daemon.pool_client.insert(pool, ask, tx);
@@ -63,7 +63,7 @@
         Err(_) => {
             daemon.pool_client.remove(&request);
             Err(Refuse {
-                ask: 0,
+                submission: 0,
                 kind: lilaccrank::error_kind::ErrorKind::Internal,
                 request: request.clone(),
                 retry_after: None,
--- a/crates/lilaccrankd/src/pools/client/held_grant.rs
+++ b/crates/lilaccrankd/src/pools/client/held_grant.rs
@@ -38,7 +38,7 @@
         }
         if let Some(ask) = self.daemon.pool_client.remove(self.request) {
             let cancel = Cancel {
-                ask: ask.ask,
+                submission: ask.submission,
                 request: ask.request,
             };
             super::notify(self.daemon, self.pool, PoolMessage::Cancel(cancel));
@@ -49,7 +49,7 @@
 impl HeldGrant {
     pub(super) fn new(daemon: &Rc<Daemon>, pool: &PoolId, grant: Grant) -> Self {
         Self {
-            ask: grant.ask,
+            ask: grant.submission,
             daemon: Rc::clone(daemon),
             ended: false,
             expected: grant.expected,
@@ -63,7 +63,7 @@
     pub fn report(&self, kind: ReportKind) {
         self.daemon.pool_client.record_report(&self.request, &kind);
         let report = Report {
-            ask: self.ask,
+            submission: self.ask,
             kind,
             request: self.request.clone(),
             target: self.target.clone(),
--- a/crates/lilaccrankd/src/pools/client/outstanding.rs
+++ b/crates/lilaccrankd/src/pools/client/outstanding.rs
@@ -5,7 +5,9 @@
 
 use futures::channel::oneshot;
 use indexmap::IndexMap;
-use lilaccrank::dispatch::message::{Ask, Entry, Refuse, ReportKind, Resync, Running, Verdict};
+use lilaccrank::dispatch::message::{
+    Entry, Refuse, ReportKind, Resync, Running, Submission, Verdict,
+};
 use lilaccrank::document::Document;
 use lilaccrank::error_kind::ErrorKind;
 use lilaccrank::ids::{PoolId, RequestId};
@@ -28,7 +30,7 @@
 
 /// One request from its first ask to its end.
 struct Outstanding {
-    ask: Ask,
+    ask: Submission,
     deadline: Option<Instant>,
     /// The dispatcher last asked; only its grant of the last ask counts.
     dispatcher: Option<MemberRef>,
@@ -49,7 +51,7 @@
         self.waiting.borrow().clone()
     }
 
-    pub(super) fn insert(&self, pool: &PoolId, ask: Ask, verdict: oneshot::Sender<Verdict>) {
+    pub(super) fn insert(&self, pool: &PoolId, ask: Submission, verdict: oneshot::Sender<Verdict>) {
         let now = Instant::now();
         let outstanding = Outstanding {
             deadline: ask.deadline.map(|remaining| now + remaining),
@@ -64,7 +66,7 @@
         self.requests.borrow_mut().insert(request, outstanding);
     }
 
-    pub(super) fn remove(&self, request: &RequestId) -> Option<Ask> {
+    pub(super) fn remove(&self, request: &RequestId) -> Option<Submission> {
         let removed = self.requests.borrow_mut().swap_remove(request);
         removed.map(|outstanding| outstanding.ask)
     }
@@ -101,7 +103,7 @@
         &self,
         daemon: &Daemon,
         request: &RequestId,
-    ) -> Option<(PoolId, MemberRef, Ask)> {
+    ) -> Option<(PoolId, MemberRef, Submission)> {
         let mut requests = self.requests.borrow_mut();
         let outstanding = requests.get_mut(request)?;
         outstanding.verdict.as_ref()?;
@@ -139,7 +141,7 @@
                 // be dropped as one of the life that was declared dead.
                 outstanding.ask.entry_incarnation = me.incarnation;
                 running.push(Running {
-                    ask: outstanding.ask.clone(),
+                    submission: outstanding.ask.clone(),
                     decoded: on.decoded,
                     target: on.target.clone(),
                 });
@@ -166,7 +168,7 @@
         let is_other_dispatcher = self.dispatcher.as_ref() != Some(dispatcher);
         let is_new_incarnation = self.ask.entry_incarnation != me.incarnation;
         if is_other_dispatcher || is_new_incarnation {
-            self.ask.ask += 1;
+            self.ask.submission += 1;
             self.ask.entry_incarnation = me.incarnation;
             self.dispatcher = Some(dispatcher.clone());
         }
@@ -180,7 +182,7 @@
         if let Some(tx) = self.verdict.take() {
             // Whoever waited may have gone.
             let _ = tx.send(Verdict::Refuse(Refuse {
-                ask: self.ask.ask,
+                submission: self.ask.submission,
                 kind: ErrorKind::NoTarget,
                 request: self.ask.request.clone(),
                 retry_after: None,
@@ -191,12 +193,12 @@
 
     fn apply_verdict(&mut self, from: &MemberRef, verdict: Verdict) -> bool {
         let ask_number = match &verdict {
-            Verdict::Grant(grant) => grant.ask,
-            Verdict::Refuse(refuse) => refuse.ask,
+            Verdict::Grant(grant) => grant.submission,
+            Verdict::Refuse(refuse) => refuse.submission,
         };
         // A dispatcher that was frozen or cut off may still grant what it was asked before another
         // took over; both grants would send the request twice. Only the last one asked counts.
-        if self.ask.ask != ask_number || self.dispatcher.as_ref() != Some(from) {
+        if self.ask.submission != ask_number || self.dispatcher.as_ref() != Some(from) {
             return false;
         }
         if let (Some(running), Verdict::Grant(grant)) = (&self.running, &verdict) {
--- a/crates/lilaccrankd/src/pools/server.rs
+++ b/crates/lilaccrankd/src/pools/server.rs
@@ -9,7 +9,7 @@
 use futures::pin_mut;
 use indexmap::{IndexMap, IndexSet};
 use lilaccrank::cells;
-use lilaccrank::dispatch::message::{Ask, Entry, Outcome, Report, ReportKind, Verdict};
+use lilaccrank::dispatch::message::{Entry, Outcome, Report, ReportKind, Submission, Verdict};
 use lilaccrank::dispatch::sharing::Digest;
 use lilaccrank::dispatch::status::Status;
 use lilaccrank::dispatch::{Config, Dispatcher};
@@ -109,14 +109,14 @@
     }
 }
 
-fn spawn_decide(daemon: &Rc<Daemon>, served: &Rc<ServedPool>, ask: Ask) {
+fn spawn_decide(daemon: &Rc<Daemon>, served: &Rc<ServedPool>, ask: Submission) {
     monoio::spawn(decide(Rc::clone(daemon), Rc::clone(served), ask));
 }
 
-async fn decide(daemon: Rc<Daemon>, served: Rc<ServedPool>, ask: Ask) {
+async fn decide(daemon: Rc<Daemon>, served: Rc<ServedPool>, ask: Submission) {
     let entry = ask.entry.clone();
     let verdict = {
-        let deciding = served.dispatcher.ask(ask);
+        let deciding = served.dispatcher.submit(ask);
         let retired = served.retired();
         pin_mut!(deciding, retired);
         match future::select(deciding, retired).await {
@@ -152,7 +152,7 @@
         }
     };
     served.dispatcher.report(&Report {
-        ask: grant.ask,
+        submission: grant.submission,
         kind,
         request: grant.request,
         target: grant.target,
--- a/crates/lilaccrankd/src/request/lifecycle.rs
+++ b/crates/lilaccrankd/src/request/lifecycle.rs
@@ -6,7 +6,7 @@
 
 use futures::future::{self, Either};
 use futures::pin_mut;
-use lilaccrank::dispatch::message::{Ask, PartialAnswer, Refuse};
+use lilaccrank::dispatch::message::{PartialAnswer, Refuse, Submission};
 use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank::ids::{ContentDigest, RequestId, TargetId};
 use lilaccrank::rules::matching::Route;
@@ -318,14 +318,19 @@
 
     /// Builds the ask for a target that is sent to the dispatcher.
     #[must_use]
-    pub fn ask(&self, daemon: &Daemon, prior: &PriorSends, partial: Option<PartialAnswer>) -> Ask {
+    pub fn ask(
+        &self,
+        daemon: &Daemon,
+        prior: &PriorSends,
+        partial: Option<PartialAnswer>,
+    ) -> Submission {
         let facts = &self.caller.facts;
         let prefix = match &self.caller.operation {
             Operation::Generate { prefix, .. } => prefix.clone(),
             Operation::Proxy(_) => Vec::new(),
         };
         let now = Instant::now();
-        Ask {
+        Submission {
             partial,
             customer: facts.customer.clone(),
             deadline: self.time_left(),
@@ -342,7 +347,7 @@
             tier: self.route.tier,
             wait_at_most: self.route.wait_at_most,
             weight: self.caller.weight,
-            ..Ask::default()
+            ..Submission::default()
         }
     }
 
--- a/crates/lilaccrankd/src/request/migration.rs
+++ b/crates/lilaccrankd/src/request/migration.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use futures::future;
-use lilaccrank::dispatch::message::{Ask, PartialAnswer};
+use lilaccrank::dispatch::message::{PartialAnswer, Submission};
 use lilaccrank::stream_progress;
 
 use crate::pools::client::{self, HeldGrant};
@@ -66,7 +66,7 @@
         observer: &SendObserver<'_>,
         remaining: Duration,
         prior: &PriorSends,
-    ) -> Ask {
+    ) -> Submission {
         let mut exclusions = prior.exclusions.clone();
         exclusions.push(observer.grant.target.clone());
         let prior = PriorSends {
@@ -78,7 +78,7 @@
             tokens: observer.stream_progress().total_tokens(),
         };
         let ask = self.ask(observer.daemon, &prior, Some(partial));
-        Ask {
+        Submission {
             request: format!("{}{ASK_SUFFIX}", ask.request),
             ..ask
         }
