--- a/crates/lilaccrankd/src/configuration/source.rs
+++ b/crates/lilaccrankd/src/configuration/source.rs
@@ -1,4 +1,4 @@
-//! The port to where configurations and the list of targets come from.
+//! Port for the source of configurations and of the list of targets.
 
 use std::rc::Rc;
 
@@ -13,20 +13,20 @@
 use crate::daemon::Daemon;
 use crate::targets::live_list::{self, Listing};
 
-/// Follows what the platform says, and tells the daemon.
+/// Watches the platform and passes its updates to the daemon.
 pub trait Source {
-    /// Follows for as long as it is polled; it never ends by itself.
-    fn follow(&self, intake: Intake) -> LocalBoxFuture<'static, ()>;
+    /// Watches the platform until the future is dropped; it never completes.
+    fn follow(&self, handler: UpdateHandler) -> LocalBoxFuture<'static, ()>;
 }
 
-/// Takes in what a source found.
+/// Applies the updates of a source to the daemon.
 #[derive(Clone)]
-pub struct Intake {
+pub struct UpdateHandler {
     daemon: Rc<Daemon>,
 }
 
-impl Intake {
-    /// The intake of a daemon.
+impl UpdateHandler {
+    /// Creates a handler for `daemon`.
     #[must_use]
     pub fn new(daemon: &Rc<Daemon>) -> Self {
         Self {
@@ -34,18 +34,18 @@
         }
     }
 
-    /// The daemon that is told.
+    /// The daemon that the updates are applied to.
     #[must_use]
     pub fn daemon(&self) -> &Rc<Daemon> {
         &self.daemon
     }
 
-    /// Adopts a whole configuration, unless one as new is in force.
+    /// Adopts a whole configuration if it is newer than the one in force.
     ///
     /// # Errors
     ///
-    /// It has problems; the one in force stays.
-    pub fn configuration(
+    /// If the configuration is invalid; the one in force stays.
+    pub fn adopt_configuration(
         &self,
         identity: Identity,
         author: &str,
@@ -67,20 +67,24 @@
         }
     }
 
-    /// Nothing newer than what is in force was published before `at`.
-    pub fn confirmed(&self, at: BootTime) {
+    /// Records that the configuration in force was the newest at `at`.
+    pub fn confirm_configuration(&self, at: BootTime) {
         self.daemon.adoption.confirm(at);
-        self.daemon.heard.configuration(MonoioClock.boot_time());
+        self.daemon
+            .platform_contact
+            .record_configuration(MonoioClock.boot_time());
     }
 
-    /// Takes over a list of targets.
-    pub fn listing(&self, listing: Listing) {
+    /// Replaces the list of targets.
+    pub fn update_listing(&self, listing: Listing) {
         live_list::apply_listing(&self.daemon, listing);
     }
 
-    /// The list of targets was the newest at `at`.
-    pub fn listing_confirmed(&self, at: BootTime) {
+    /// Records that the list of targets was current at `at`.
+    pub fn confirm_listing(&self, at: BootTime) {
         self.daemon.live_list.confirm(at);
-        self.daemon.heard.list(MonoioClock.boot_time());
+        self.daemon
+            .platform_contact
+            .record_list(MonoioClock.boot_time());
     }
 }
--- a/crates/lilaccrankd/src/targets/live_list.rs
+++ b/crates/lilaccrankd/src/targets/live_list.rs
@@ -205,7 +205,7 @@
 
 /// Applies a list that the daemon received.
 pub fn apply_listing(daemon: &Rc<Daemon>, listing: Listing) {
-    let may_lapse = daemon.heard.may_lapse(MonoioClock.boot_time());
+    let may_lapse = daemon.platform_contact.may_lapse(MonoioClock.boot_time());
     let previous = daemon.live_list.listing();
     if !daemon.live_list.update(listing, may_lapse) {
         return;
@@ -228,7 +228,7 @@
 
 async fn wait_for_lapsed(daemon: Rc<Daemon>) {
     // Messages of other daemons may report a later end of the outage than this daemon saw.
-    while daemon.heard.may_lapse(MonoioClock.boot_time()) {
+    while daemon.platform_contact.may_lapse(MonoioClock.boot_time()) {
         monoio::time::sleep(LAPSED_POLL_INTERVAL).await;
     }
     if daemon.live_list.forget_lapsed() {
