--- a/crates/lilaccrank/src/dispatch/choice.rs
+++ b/crates/lilaccrank/src/dispatch/choice.rs
@@ -11,7 +11,7 @@
 use super::target::Target;
 use super::work::Work;
 use crate::ids::{DataCentre, Tier};
-use crate::target_life::TargetLife;
+use crate::target_instance::TargetInstance;
 
 /// One in this many slots is reserved for urgent tiers.
 pub const HEADROOM_DIVISOR: u32 = 8;
@@ -65,7 +65,7 @@
     /// Time within which the target must finish the answer, for a resumed answer.
     pub finish_within: Option<Duration>,
     /// Targets that must not be chosen.
-    pub exclusions: &'a [TargetLife],
+    pub exclusions: &'a [TargetInstance],
     /// Time until the caller expects the first token, if it has an objective.
     pub objective: Option<Duration>,
     /// Lane of the ask in the queue.
@@ -100,7 +100,7 @@
     /// Prefill tokens that remain after the expected cache hits.
     pub prefill: u64,
     /// Selected target.
-    pub target: TargetLife,
+    pub target: TargetInstance,
 }
 
 /// Occupancy of a pool at one moment. Only healthy targets count: the free slots of a hung target
@@ -120,7 +120,7 @@
 impl Occupancy {
     /// Computes the occupancy of the live and healthy targets.
     #[must_use]
-    pub fn of(targets: &IndexMap<TargetLife, Target>, now: Instant) -> Self {
+    pub fn of(targets: &IndexMap<TargetInstance, Target>, now: Instant) -> Self {
         let is_healthy = |target: &&Target| target.health.state() == health::State::Well;
         let healthy = targets
             .values()
@@ -223,7 +223,7 @@
 /// Returns `true` if at least one target is eligible for an ask.
 #[must_use]
 pub fn any_eligible(
-    targets: &IndexMap<TargetLife, Target>,
+    targets: &IndexMap<TargetInstance, Target>,
     needs: &Requirements<'_>,
     occupancy: Occupancy,
     now: Instant,
@@ -241,7 +241,7 @@
 /// one.
 #[must_use]
 pub fn choose(
-    targets: &IndexMap<TargetLife, Target>,
+    targets: &IndexMap<TargetInstance, Target>,
     affinity: &Affinity,
     needs: &Requirements<'_>,
     occupancy: Occupancy,
--- a/crates/lilaccrank/src/dispatch/rate_limit.rs
+++ b/crates/lilaccrank/src/dispatch/rate_limit.rs
@@ -11,7 +11,7 @@
 
 use crate::cells::CellId;
 use crate::rendezvous;
-use crate::target_life::LifeDigest;
+use crate::target_instance::InstanceDigest;
 
 /// Minimum rate in requests per second. Without any requests, a target couldn't advertise the end
 /// of its limit.
@@ -36,7 +36,7 @@
 
 /// Computes the share of the cell `me` of a target's rate, where `cells` send to the target.
 #[must_use]
-pub fn share(per_s: f64, target: LifeDigest, cells: &[CellId], me: CellId) -> Share {
+pub fn share(per_s: f64, target: InstanceDigest, cells: &[CellId], me: CellId) -> Share {
     let per_s = per_s.max(MIN_RATE_PER_S);
     let burst = per_s * BURST_S + BURST;
     let names = cells.iter().map(|cell| (cell, cell.index.to_string()));
--- a/crates/lilaccrank/src/dispatch/status.rs
+++ b/crates/lilaccrank/src/dispatch/status.rs
@@ -7,7 +7,7 @@
 
 use super::health;
 use super::state::State;
-use crate::ids::{Born, TargetId, Tier};
+use crate::ids::{StartTimeMs, TargetId, Tier};
 
 /// State of a pool.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -38,7 +38,7 @@
 pub struct TargetStatus {
     /// Start time of the target; 0 if unknown.
     #[serde(default)]
-    pub born: Born,
+    pub born: StartTimeMs,
     /// Estimated number of blocks in its prefix cache.
     pub cached_blocks: usize,
     /// Outstanding decode tokens.
@@ -73,7 +73,7 @@
         let targets = self.targets.values().map(|target| {
             let estimate = &target.estimate;
             TargetStatus {
-                born: target.life.born,
+                born: target.life.started_ms,
                 cached_blocks: self.affinity.block_count(&target.life),
                 decode_outstanding: estimate.outstanding().decode,
                 health: target.health.state(),
--- a/crates/lilaccrank/src/request_key/handover.rs
+++ b/crates/lilaccrank/src/request_key/handover.rs
@@ -1,4 +1,4 @@
-//! Records move to their new owners when the members change.
+//! Transfers records to their new replicas after a membership change.
 
 use std::time::Instant;
 
@@ -7,42 +7,44 @@
 use crate::clock::Clock;
 use crate::ids::VmId;
 use crate::peers::Peers;
-use crate::request_key::keeper::Keeper;
 use crate::request_key::key_id::KeyId;
-use crate::request_key::message::{KeyReply, KeyRequest, Moved};
-use crate::request_key::owners::{self, Digest, OWNERS, View};
+use crate::request_key::message::{KeyReply, KeyRequest, MovedRecord};
+use crate::request_key::owner::KeyOwner;
 use crate::request_key::ranking::{MemberRef, Ranking};
+use crate::request_key::replicas::{self, MembersDigest, REPLICAS, View};
 
-/// What one page takes at most: bounds how long it keeps the daemon from other work, and its
-/// size on the wire.
+/// Limits of one page of records. They bound the size of its message and the time for which it
+/// blocks the daemon's thread.
 struct PageLimit {
     moved: usize,
     ranked: usize,
     scanned: usize,
 }
 
-const PAGE: PageLimit = PageLimit {
+const PAGE_LIMIT: PageLimit = PageLimit {
     moved: 512,
     ranked: 256,
     scanned: 16_384,
 };
 
-impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> Keeper<C, P, R> {
-    /// Called by [`run`](Self::run) at the start and after each change of the members: pushes records to
-    /// their new owners and asks every live member for what this daemon now owns. Until that
-    /// is done, claims get [`KeyReply::Unsettled`]. Returns early if the members change again.
-    pub async fn members_changed(&self) {
+impl<C: Clock, P: Peers<KeyRequest, KeyReply>, R: Ranking> KeyOwner<C, P, R> {
+    /// Pushes records to their new replicas and fetches from every live member the records of
+    /// which this daemon now is a replica. Until that is done, claims get
+    /// [`KeyReply::Unsettled`]. Returns early if the membership changes again.
+    ///
+    /// [`run`](Self::run) calls this at the start and after each membership change or pause.
+    pub async fn handle_membership_change(&self) {
         self.tick_if_paused();
         let view = self.inner.ranking.ranked(0);
-        let pauses = self.inner.pauses.get();
-        self.inner.settled.take();
+        let pause_count = self.inner.pause_count.get();
+        self.inner.settled_view.take();
         self.push_all(&view).await;
         let me = self.inner.ranking.me();
         if view == [me.clone()] {
-            // A daemon that was frozen finds all its timers expired, and may think for a moment
-            // that all others are dead. Alone it needs no copy, and would run a request that
-            // the others have run meanwhile. The wait gives their heartbeats time to arrive.
-            self.hold_while(&view).await;
+            // A daemon that resumes after a suspension finds all its timers expired, and may
+            // briefly consider all others dead. Alone it needs no backup, and would grant requests
+            // that the others have run meanwhile. The wait lets their heartbeats arrive.
+            self.wait_out_isolation(&view).await;
         }
         for member in view.iter().filter(|member| **member != me) {
             if !self.pull_from(member, &view).await {
@@ -50,33 +52,39 @@
             }
         }
         self.tick_if_paused();
-        if self.inner.ranking.ranked(0) == view && self.inner.pauses.get() == pauses {
-            *self.inner.settled.borrow_mut() = Some(view);
+        if self.inner.ranking.ranked(0) == view && self.inner.pause_count.get() == pause_count {
+            *self.inner.settled_view.borrow_mut() = Some(view);
         }
     }
 
-    /// Waits out the isolation hold, or until other members are seen.
-    async fn hold_while(&self, view: &[MemberRef]) {
-        let until = self.inner.clock.now() + self.inner.limits.isolation_hold;
+    /// Waits for [`Limits::isolation_wait`], or until the view changes.
+    ///
+    /// [`Limits::isolation_wait`]: crate::request_key::Limits::isolation_wait
+    async fn wait_out_isolation(&self, view: &[MemberRef]) {
+        let until = self.inner.clock.now() + self.inner.limits.isolation_wait;
         while self.inner.clock.now() < until && self.inner.ranking.ranked(0) == view {
-            self.inner.clock.sleep(self.inner.limits.retry_every).await;
+            self.inner
+                .clock
+                .sleep(self.inner.limits.retry_interval)
+                .await;
         }
     }
 
-    /// Asks `member` for all its records that belong here; false if the members changed.
+    /// Fetches from `member` all records of which this daemon is a replica. Retries until it
+    /// succeeds; returns `false` if the membership changed meanwhile.
     async fn pull_from(&self, member: &MemberRef, view: &[MemberRef]) -> bool {
         let mut after = None;
         while self.inner.ranking.ranked(0) == view {
             let req = KeyRequest::Handover {
                 after,
                 live: view.to_vec(),
-                owner: self.inner.ranking.me(),
+                replica: self.inner.ranking.me(),
             };
             if let Ok(KeyReply::Handover { moved, next }) =
                 self.inner.peers.call(&member.vm, req).await
             {
-                // Without room for a record of another holder its key would look unknown here;
-                // staying unsettled refuses claims instead.
+                // If a record doesn't fit into the table, its key would look unknown here. This
+                // daemon then stays unsettled and refuses claims.
                 if self.accept_push(moved) == KeyReply::Done {
                     match next {
                         Some(_) => after = next,
@@ -85,23 +93,26 @@
                     continue;
                 }
             }
-            self.inner.clock.sleep(self.inner.limits.retry_every).await;
+            self.inner
+                .clock
+                .sleep(self.inner.limits.retry_interval)
+                .await;
         }
         false
     }
 
-    /// One page of the records that `owner` is to hold.
+    /// Returns one page of the records of which `replica` is a replica.
     ///
-    /// A daemon that doesn't see the new owner yet still acts as keeper in its place. What it
-    /// grants after this answer would be unknown to the owner, so it gives none until it sees
-    /// the owner, and then no longer grants.
+    /// A daemon that doesn't see the new member yet may still act as owner in its place, and the
+    /// new member would never learn of claims granted after this reply. The reply is therefore
+    /// [`KeyReply::Unsettled`] until this daemon sees the new member and stops granting.
     pub(super) fn hand_over(
         &self,
         after: Option<KeyId>,
         live: &[MemberRef],
-        owner: &MemberRef,
+        replica: &MemberRef,
     ) -> KeyReply {
-        if !self.inner.ranking.is_live(owner) {
+        if !self.inner.ranking.is_live(replica) {
             return KeyReply::Unsettled;
         }
         let now = self.inner.clock.now();
@@ -111,29 +122,29 @@
         let table = self.inner.table.borrow();
         let mut moved = Vec::new();
         let mut last = None;
-        let mut ranked_anew = 0;
-        for (id, slot) in table.after(after).take(PAGE.scanned) {
+        let mut newly_ranked = 0;
+        for (id, slot) in table.after(after).take(PAGE_LIMIT.scanned) {
             last = Some(*id);
-            ranked_anew += usize::from(!same_view || !view.knows_owners(slot));
-            let (owns, digest) = if same_view {
-                let owners = view.owners(ranking, id, slot);
+            newly_ranked += usize::from(!same_view || !view.has_cached_replicas(slot));
+            let (is_replica, digest) = if same_view {
+                let replicas = view.replicas(ranking, id, slot);
                 (
-                    view.resolve(owners).any(|member| member == owner),
-                    owners.digest,
+                    view.resolve(replicas).any(|member| member == replica),
+                    replicas.digest,
                 )
             } else {
                 let mut ranked = ranking.ranked(id.hash());
                 ranked.retain(|member| live.contains(member));
-                let mut top = ranked.iter().take(OWNERS);
+                let mut top = ranked.iter().take(REPLICAS);
                 (
-                    top.any(|member| member == owner),
-                    owners::digest_of_owners(&ranked),
+                    top.any(|member| member == replica),
+                    replicas::replicas_digest(&ranked),
                 )
             };
-            if owns && slot.replicated != Some(digest) {
+            if is_replica && slot.replicated_to != Some(digest) {
                 moved.push(slot.moved(*id, now));
             }
-            if moved.len() == PAGE.moved || ranked_anew == PAGE.ranked {
+            if moved.len() == PAGE_LIMIT.moved || newly_ranked == PAGE_LIMIT.ranked {
                 break;
             }
         }
@@ -141,19 +152,19 @@
         KeyReply::Handover { moved, next }
     }
 
-    /// Pushes each record to those of its owners that are not known to have it.
+    /// Pushes each record to its replicas, unless they are known to have it.
     async fn push_all(&self, view: &[MemberRef]) {
         let mut after = None;
         while self.inner.ranking.ranked(0) == view {
             let page = self.push_page(after);
             let mut delivered = true;
             for (vm, moved) in page.batches {
-                // A push that fails is made up for by the new owner, which asks.
+                // A failed push needs no retry: the new replica fetches its records itself.
                 let reply = self.inner.peers.call(&vm, KeyRequest::Push { moved }).await;
                 delivered &= reply == Ok(KeyReply::Done);
             }
             if delivered {
-                self.note_replicated(page.pushed);
+                self.mark_replicated(page.pushed);
             }
             if page.last.is_none() {
                 return;
@@ -169,58 +180,61 @@
         let view = View::of(ranking);
         let table = self.inner.table.borrow();
         let mut page = PushPage::default();
-        let mut ranked_anew = 0;
-        for (id, slot) in table.after(after).take(PAGE.scanned) {
-            if page.pushed.len() == PAGE.moved || ranked_anew == PAGE.ranked {
+        let mut newly_ranked = 0;
+        for (id, slot) in table.after(after).take(PAGE_LIMIT.scanned) {
+            if page.pushed.len() == PAGE_LIMIT.moved || newly_ranked == PAGE_LIMIT.ranked {
                 break;
             }
             page.last = Some(*id);
-            ranked_anew += usize::from(!view.knows_owners(slot));
-            let owners = view.owners(ranking, id, slot);
-            if slot.replicated == Some(owners.digest) {
+            newly_ranked += usize::from(!view.has_cached_replicas(slot));
+            let replicas = view.replicas(ranking, id, slot);
+            if slot.replicated_to == Some(replicas.digest) {
                 continue;
             }
             page.pushed.push(Pushed {
                 id: *id,
-                owners: owners.digest,
-                touched: slot.touched,
+                replicas: replicas.digest,
+                changed_at: slot.changed_at,
             });
-            for owner in view.resolve(owners).filter(|owner| **owner != me) {
-                let batch = page.batches.entry(owner.vm.clone()).or_default();
+            for replica in view.resolve(replicas).filter(|replica| **replica != me) {
+                let batch = page.batches.entry(replica.vm.clone()).or_default();
                 batch.push(slot.moved(*id, now));
             }
         }
         page
     }
 
-    /// Spares the records that have reached their owners the next push and handover.
-    fn note_replicated(&self, pushed: Vec<Pushed>) {
+    /// Excludes the records that have reached their replicas from later pushes and handovers,
+    /// unless they have changed since.
+    fn mark_replicated(&self, pushed: Vec<Pushed>) {
         let mut table = self.inner.table.borrow_mut();
         for Pushed {
             id,
-            owners,
-            touched,
+            replicas,
+            changed_at,
         } in pushed
         {
-            let slot = table.get_mut(&id).filter(|slot| slot.touched == touched);
+            let slot = table
+                .get_mut(&id)
+                .filter(|slot| slot.changed_at == changed_at);
             if let Some(slot) = slot {
-                slot.replicated = Some(owners);
+                slot.replicated_to = Some(replicas);
             }
         }
     }
 }
 
-/// Records to push, by the vm of the new owner.
+/// Records to push, grouped by the VM of the replica.
 #[derive(Default)]
 struct PushPage {
-    batches: IndexMap<VmId, Vec<Moved>>,
+    batches: IndexMap<VmId, Vec<MovedRecord>>,
     last: Option<KeyId>,
     pushed: Vec<Pushed>,
 }
 
-/// A record as it was when it was pushed.
+/// Identifies the version of a record that was pushed.
 struct Pushed {
     id: KeyId,
-    owners: Digest,
-    touched: Instant,
+    replicas: MembersDigest,
+    changed_at: Instant,
 }
--- a/crates/lilaccrank/tests/suite/dispatch_restarts.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_restarts.rs
@@ -5,9 +5,9 @@
 use lilaccrank::dispatch::health::State;
 use lilaccrank::dispatch::message::{CacheEvent, ReportKind};
 use lilaccrank::dispatch::sharing::{Digest, Observation, Sample, TargetLoad};
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::target_instance::TargetInstance;
 
-use crate::dispatch_fixtures::{ask, granted, harness};
+use crate::dispatch_fixtures::{granted, harness, submission};
 use crate::dispatch_harness::{DATA_CENTRE, Harness};
 
 /// Start time of the restarted target, in milliseconds.
@@ -15,7 +15,7 @@
 
 /// Restarts the only target.
 fn restart_target(harness: &mut Harness) {
-    harness.pool.targets[0].born += START_TIME_MS;
+    harness.pool.targets[0].started_ms += START_TIME_MS;
     harness.dispatcher.set_targets(&harness.pool, DATA_CENTRE);
 }
 
@@ -24,15 +24,15 @@
 #[test]
 fn restart_frees_the_slots() {
     let mut harness = harness(&[1]);
-    harness.ask(ask("old", 0));
+    harness.submit(submission("old", 0));
     assert_eq!(harness.grants(), granted("old", "t0"));
-    harness.ask(ask("new", 0));
+    harness.submit(submission("new", 0));
     assert_eq!(harness.grants(), []);
     restart_target(&mut harness);
     assert_eq!(harness.grants(), granted("new", "t0"));
     // The end of the request from before the restart releases no slot of the restarted target.
     harness.end("old", "t0");
-    harness.ask(ask("third", 0));
+    harness.submit(submission("third", 0));
     assert_eq!(harness.grants(), []);
 }
 
@@ -42,7 +42,7 @@
 fn peer_load_from_before_a_restart_is_ignored() {
     let mut harness = harness(&[1]);
     restart_target(&mut harness);
-    let old = TargetLife::from("t0").digest();
+    let old = TargetInstance::from("t0").digest();
     let stale = Digest {
         loads: vec![TargetLoad {
             prefill: 1_000,
@@ -61,7 +61,7 @@
         whole: true,
     };
     harness.dispatcher.apply_digest(&"vm2".to_owned(), stale);
-    harness.ask(ask("new", 0));
+    harness.submit(submission("new", 0));
     assert_eq!(harness.grants(), granted("new", "t0"));
 }
 
@@ -70,11 +70,11 @@
 #[test]
 fn restart_resets_all_that_was_learned() {
     let mut harness = harness(&[8]);
-    let life = TargetLife::from("t0");
+    let life = TargetInstance::from("t0");
     let initial = harness.dispatcher.status().targets[0].clone();
     for number in 0..40 {
         let request = format!("r{number}");
-        harness.ask(ask(&request, 0));
+        harness.submit(submission(&request, 0));
         harness.verdicts();
         let step = Duration::from_millis(if number < 30 { 10 } else { 400 });
         harness.report(&request, "t0", ReportKind::FirstToken { after: step * 10 });
@@ -84,7 +84,7 @@
     harness
         .dispatcher
         .cache_events(&life, 1, &[CacheEvent::Stored(7)]);
-    harness.ask(ask("hangs", 0));
+    harness.submit(submission("hangs", 0));
     harness.verdicts();
     harness.advance(Duration::from_secs(60));
     let degraded = harness.dispatcher.status().targets[0].clone();
@@ -103,11 +103,11 @@
 #[test]
 fn late_reports_from_before_a_restart_are_ignored() {
     let mut harness = harness(&[2]);
-    harness.ask(ask("old", 0));
+    harness.submit(submission("old", 0));
     harness.verdicts();
     restart_target(&mut harness);
     let before = harness.dispatcher.status().targets.clone();
-    let old = TargetLife::from("t0");
+    let old = TargetInstance::from("t0");
     harness
         .dispatcher
         .cache_events(&old, 1, &[CacheEvent::Stored(7)]);
--- a/crates/lilaccrank/tests/suite/request_key/cluster.rs
+++ b/crates/lilaccrank/tests/suite/request_key/cluster.rs
@@ -1,4 +1,4 @@
-//! Daemons of one data centre in one thread, with a wire and a store that fail on order.
+//! Simulated daemons of one data centre, with fault injection for their network and store.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -15,20 +15,20 @@
 use lilaccrank::paused_clock::PausedClock;
 use lilaccrank::peers::{self, Peers};
 use lilaccrank::request_key::{
-    Access, BodyDigest, Budget, Claim, Claimed, Claims, Keeper, KeyReply, KeyRequest, Limits,
-    Marked, MemberRef, Ranking, Result, Wanted,
+    Access, BodyDigest, Budget, Claim, ClaimRequest, Claimed, Claims, KeyOwner, KeyReply,
+    KeyRequest, Limits, Marked, MemberRef, Ranking, Result,
 };
 use lilaccrank::store::{self, Expect, Store, Version, Versioned};
 
 pub type TestAccess = Access<PausedClock, FakePeers, View, FakeStore>;
 pub type TestClaim = Claim<Claimed, PausedClock, FakePeers, View, FakeStore>;
 pub type TestMarked = Claim<Marked, PausedClock, FakePeers, View, FakeStore>;
-pub type TestKeeper = Keeper<PausedClock, FakePeers, View>;
+pub type TestOwner = KeyOwner<PausedClock, FakePeers, View>;
 
 const CALL_LIMIT: Duration = Duration::from_millis(500);
-const WAIT_AT_MOST: Duration = Duration::from_secs(2);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What one daemon thinks of the membership; lower vm numbers rank first for every key.
+/// Membership as one daemon sees it. Members rank for every key in the order of `live`.
 #[derive(Clone)]
 pub struct View {
     pub live: Rc<RefCell<Vec<MemberRef>>>,
@@ -49,10 +49,10 @@
     }
 }
 
-/// Which calls the wire loses.
+/// Messages that the network loses.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Loss {
-    /// Calls from keeper to copy.
+    /// Calls from owner to backup.
     Copies,
     /// None.
     #[default]
@@ -65,7 +65,7 @@
 pub struct FakePeers {
     clock: PausedClock,
     down: Rc<RefCell<Vec<VmId>>>,
-    keepers: Rc<RefCell<IndexMap<VmId, TestKeeper>>>,
+    owners: Rc<RefCell<IndexMap<VmId, TestOwner>>>,
     loss: Rc<Cell<Loss>>,
 }
 
@@ -78,9 +78,9 @@
             self.clock.sleep(CALL_LIMIT).await;
             return Err(peers::Error::NoAnswer(vm.clone()));
         }
-        let keeper = self.keepers.borrow()[vm].clone();
+        let owner = self.owners.borrow()[vm].clone();
         let handled: LocalBoxFuture<KeyReply> =
-            async move { keeper.handle(req).await }.boxed_local();
+            async move { owner.handle(req).await }.boxed_local();
         let reply = handled.await;
         if !internal && self.loss.get() == Loss::Replies {
             self.clock.sleep(CALL_LIMIT).await;
@@ -90,16 +90,16 @@
     }
 }
 
-/// How the store fails.
+/// Fault of the store.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Every call.
+    /// Every call fails.
     Away,
-    /// The next write takes effect and its answer is lost; then the store is away.
+    /// The next write takes effect and its reply is lost; then every call fails.
     EffectThenAway,
-    /// The next write takes effect and its answer is lost.
+    /// The next write takes effect and its reply is lost.
     LostAnswer,
-    /// The next write is lost and so is the reason.
+    /// The next write has no effect and no definite result.
     LostWrite,
 }
 
@@ -111,7 +111,7 @@
 }
 
 impl FakeStore {
-    fn called(&self) -> store::Result<()> {
+    fn count_call(&self) -> store::Result<()> {
         self.calls.set(self.calls.get() + 1);
         match self.fault.get() {
             Some(Fault::Away) => Err(store::Error::Unavailable),
@@ -122,12 +122,12 @@
 
 impl Store for FakeStore {
     async fn get(&self, key: &str) -> store::Result<Option<Versioned>> {
-        self.called()?;
+        self.count_call()?;
         Ok(self.objects.borrow().get(key).cloned())
     }
 
     async fn put(&self, key: &str, value: Bytes, expect: Expect) -> store::Result<Version> {
-        self.called()?;
+        self.count_call()?;
         let fault = self.fault.take();
         if fault == Some(Fault::LostWrite) {
             return Err(store::Error::Unknown);
@@ -155,7 +155,7 @@
     }
 
     async fn delete(&self, key: &str, _expect: Expect) -> store::Result<()> {
-        self.called()?;
+        self.count_call()?;
         self.objects.borrow_mut().shift_remove(key);
         Ok(())
     }
@@ -172,7 +172,7 @@
 
 pub struct Daemon {
     pub claims: Claims<PausedClock, FakePeers, View, FakeStore>,
-    pub keeper: TestKeeper,
+    pub owner: TestOwner,
     pub view: View,
 }
 
@@ -190,16 +190,16 @@
     }
 
     pub fn with_limits(size: usize, limits: Limits) -> Self {
-        Self::with(size, limits, WAIT_AT_MOST)
+        Self::with(size, limits, RETRY_TIMEOUT)
     }
 
-    /// Daemons whose entries ask the keeper for at most `wait`.
+    /// Creates a cluster whose entries retry calls to the owner for at most `wait`.
     pub fn with(size: usize, limits: Limits, wait: Duration) -> Self {
         let clock = PausedClock::new();
         let peers = FakePeers {
             clock: clock.clone(),
             down: Rc::default(),
-            keepers: Rc::default(),
+            owners: Rc::default(),
             loss: Rc::default(),
         };
         let mut cluster = Self {
@@ -228,19 +228,19 @@
         let live = Rc::new(RefCell::new(live));
         let view = View { live, me };
         let (clock, peers) = (self.clock.clone(), self.peers.clone());
-        let keeper = Keeper::new(clock.clone(), peers, view.clone(), limits);
-        let mut keepers = self.peers.keepers.borrow_mut();
-        keepers.insert(view.me.vm.clone(), keeper.clone());
+        let owner = KeyOwner::new(clock.clone(), peers, view.clone(), limits);
+        let mut owners = self.peers.owners.borrow_mut();
+        owners.insert(view.me.vm.clone(), owner.clone());
         let budget = Budget::new(clock, 10.0, 20.0);
-        let claims = Claims::new(keeper.clone(), self.store.clone(), budget, wait);
+        let claims = Claims::new(owner.clone(), self.store.clone(), budget, wait);
         Daemon {
             claims,
-            keeper,
+            owner,
             view,
         }
     }
 
-    /// Runs `fut`, moving time on whenever all stand still.
+    /// Runs `fut` to completion, and advances the clock whenever no task can proceed.
     pub fn run<T>(&self, fut: impl Future<Output = T>) -> T {
         let mut fut = std::pin::pin!(fut.fuse());
         let mut pool = self.pool.borrow_mut();
@@ -251,33 +251,33 @@
                 return output;
             }
             pool.run_until_stalled();
-            self.running().for_each(|daemon| daemon.keeper.tick());
+            self.running().for_each(|daemon| daemon.owner.tick());
             self.clock.advance(Duration::from_millis(10));
         }
         panic!("no end after 100 s");
     }
 
-    /// Daemon `index` answers no more; and those that run learn it.
+    /// Stops daemon `index`, and removes it from the views of the running daemons.
     pub fn stop(&self, index: usize) {
         self.peers.down.borrow_mut().push(member(index).vm);
         self.set_live(|live| live.retain(|other| *other != member(index)));
     }
 
-    /// Daemon `index`, stopped before, runs on; the others have not noticed yet.
+    /// Thaws the stopped daemon `index`. The views of the others don't change.
     pub fn thaw(&self, index: usize) {
         let mut down = self.peers.down.borrow_mut();
         down.retain(|vm| *vm != member(index).vm);
     }
 
-    /// Daemon `index` sees the members `live`, in this order.
-    pub fn see(&self, index: usize, live: impl Iterator<Item = usize>) {
+    /// Sets the view of daemon `index` to the members `live`, ranked in this order.
+    pub fn set_view(&self, index: usize, live: impl Iterator<Item = usize>) {
         *self.daemons[index].view.live.borrow_mut() = live.map(member).collect();
     }
 
-    /// Everybody sees the members `live`, in this order.
+    /// Sets the view of all daemons to the members `live`, ranked in this order.
     pub fn rejoin(&self, live: &[usize]) {
         for index in 0..self.daemons.len() {
-            self.see(index, live.iter().copied());
+            self.set_view(index, live.iter().copied());
         }
     }
 
@@ -293,14 +293,14 @@
         daemons.filter(move |daemon| !down.contains(&daemon.view.me.vm))
     }
 
-    /// Runs the handover of all running daemons.
+    /// Transfers records between all running daemons.
     pub fn settle(&self) {
         for daemon in self.running() {
-            self.run(daemon.keeper.members_changed());
+            self.run(daemon.owner.handle_membership_change());
         }
     }
 
-    /// Stops a daemon and lets the others take over.
+    /// Stops daemon `index` and lets the others take over its keys.
     pub fn kill(&self, index: usize) {
         self.stop(index);
         self.settle();
@@ -310,25 +310,25 @@
         self.peers.loss.set(loss);
     }
 
-    pub fn ask(&self, index: usize, req: KeyRequest) -> KeyReply {
-        self.run(self.daemons[index].keeper.handle(req))
+    pub fn call_owner(&self, index: usize, req: KeyRequest) -> KeyReply {
+        self.run(self.daemons[index].owner.handle(req))
     }
 
-    pub fn claim(&self, index: usize, wanted: &Wanted) -> Result<TestAccess> {
-        self.run(self.daemons[index].claims.claim(wanted))
+    pub fn claim(&self, index: usize, request: &ClaimRequest) -> Result<TestAccess> {
+        self.run(self.daemons[index].claims.claim(request))
     }
 
-    /// Claims where nothing stands against it.
-    pub fn granted(&self, index: usize, wanted: &Wanted) -> TestClaim {
-        match self.claim(index, wanted) {
+    /// Claims a key at daemon `index`. Panics unless the claim is granted.
+    pub fn granted(&self, index: usize, request: &ClaimRequest) -> TestClaim {
+        match self.claim(index, request) {
             Ok(Access::Granted(claim)) => claim,
             Ok(_) => panic!("in progress elsewhere"),
             Err(e) => panic!("refused: {e}"),
         }
     }
 
-    pub fn marked(&self, index: usize, wanted: &Wanted) -> TestMarked {
-        let claim = self.granted(index, wanted);
+    pub fn marked(&self, index: usize, request: &ClaimRequest) -> TestMarked {
+        let claim = self.granted(index, request);
         self.run(claim.mark_dispatching()).unwrap()
     }
 }
@@ -340,8 +340,8 @@
     }
 }
 
-pub fn wanted(idempotent: bool) -> Wanted {
-    Wanted {
+pub fn request(idempotent: bool) -> ClaimRequest {
+    ClaimRequest {
         body: BodyDigest::new(b"body"),
         customer: "acme".to_owned(),
         idempotent,
--- a/crates/lilaccrankd/src/admin.rs
+++ b/crates/lilaccrankd/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' surface, with metrics and health.
+//! HTTP API for operators, with metrics, health checks and held answers.
 
 use std::rc::Rc;
 
@@ -21,7 +21,7 @@
 
 mod configuration;
 mod error;
-mod exchange;
+mod json;
 pub mod metrics;
 mod orders;
 mod publication;
@@ -29,7 +29,7 @@
 
 use error::Result;
 
-/// Answers one HTTP request of an operator.
+/// Handles one HTTP request to the admin address.
 pub async fn handle(
     daemon: Rc<Daemon>,
     signals: Signals,
@@ -52,7 +52,7 @@
     }
 }
 
-/// Tells a balancer whether to send callers here.
+/// Answers a load balancer's readiness check.
 pub fn readiness(daemon: &Daemon) -> Response<Body> {
     match ready(daemon) {
         Ok(()) => text("ready\n".to_owned()),
@@ -68,29 +68,29 @@
     let (head, incoming) = req.into_parts();
     let operator = authenticate(daemon, &head.headers)?;
     match (&head.method, head.uri.path()) {
-        (&Method::GET, path::CONFIGURATION) => exchange::reply(&configuration::in_force(daemon)?),
+        (&Method::GET, path::CONFIGURATION) => json::reply(&configuration::in_force(daemon)?),
         (&Method::POST, path::CONFIGURATION) => {
-            let asked = exchange::read(daemon, incoming).await?;
-            let published = publication::publish(daemon, operator.id, asked).await?;
-            exchange::reply(&published)
+            let payload = json::read(daemon, incoming).await?;
+            let published = publication::publish(daemon, operator.id, payload).await?;
+            json::reply(&published)
         }
         (&Method::POST, path::EXPLAIN) => {
-            let asked = exchange::read(daemon, incoming).await?;
-            exchange::reply(&configuration::explain(daemon, asked)?)
+            let payload = json::read(daemon, incoming).await?;
+            json::reply(&configuration::explain(daemon, payload)?)
         }
-        (&Method::GET, path::HISTORY) => exchange::reply(&configuration::history(daemon).await?),
-        (&Method::POST, path::LEAVE) => exchange::reply(&leave(daemon, signals)),
-        (&Method::GET, path::STATUS) => exchange::reply(&status(daemon)?),
+        (&Method::GET, path::HISTORY) => json::reply(&configuration::history(daemon).await?),
+        (&Method::POST, path::LEAVE) => json::reply(&leave(daemon, signals)),
+        (&Method::GET, path::STATUS) => json::reply(&status(daemon)?),
         (&Method::POST, path::TIMELINE) => {
-            let query = exchange::read(daemon, incoming).await?;
-            exchange::reply(&operators::TimelineReply {
+            let query = json::read(daemon, incoming).await?;
+            json::reply(&operators::TimelineReply {
                 dropped: daemon.timeline.dropped(),
                 events: daemon.timeline.query(&query),
                 vm: daemon.cfg.vm.clone(),
             })
         }
         (&Method::GET, other) => match configuration::generation(other) {
-            Some(generation) => exchange::reply(&configuration::earlier(daemon, generation).await?),
+            Some(generation) => json::reply(&configuration::earlier(daemon, generation).await?),
             None => Err(no_path().into()),
         },
         _ => Err(no_path().into()),
@@ -108,10 +108,11 @@
 
 fn leave(daemon: &Daemon, signals: &Signals) -> operators::LeaveReply {
     log::info!("an operator asked this daemon to leave");
-    // From this answer on nothing new is taken; the rest of the shutdown follows.
+    // New requests are refused before the operator gets the reply; the rest of the shutdown
+    // follows.
     daemon.leaving.set(true);
     daemon.refusing.set(true);
-    signals.order();
+    signals.request_shutdown();
     operators::LeaveReply {
         in_progress: daemon.in_progress(),
         vm: daemon.cfg.vm.clone(),
@@ -131,7 +132,8 @@
     })
 }
 
-/// An answer that this daemon runs or holds, for a caller that repeated its key elsewhere.
+/// Streams an answer that this daemon produces or holds, for a caller that repeated its key at
+/// another daemon.
 async fn held_answer(
     daemon: &Daemon,
     req: &Request<Incoming>,
@@ -147,7 +149,10 @@
     let key = key
         .and_then(|key| String::from_utf8(key).ok())
         .ok_or_else(not_found)?;
-    let run = daemon.answers.get(&(customer, key)).ok_or_else(not_found)?;
+    let run = daemon
+        .answer_cache
+        .get(&(customer, key))
+        .ok_or_else(not_found)?;
     entry::respond(daemon, run.reader(), None).await
 }
 
@@ -160,10 +165,10 @@
     }
     let in_force = daemon.in_force()?;
     daemon.check_lease()?;
-    // Configuration and list are asked for side by side. Without the list every request would be
-    // refused for want of a target.
+    // The configuration may arrive before the list of targets. Without the list, every request
+    // would be refused for lack of a target.
     let needs_list = in_force.document.pools.iter().any(|pool| pool.listed);
-    if needs_list && daemon.live_list.age(MonoioClock.boot()).is_none() {
+    if needs_list && daemon.live_list.age(MonoioClock.boot_time()).is_none() {
         let message = "the list of targets is not known yet";
         return Err(Refusal::new(ErrorKind::NotReady, message));
     }
--- a/crates/lilaccrankd/src/request/pool_retry_budgets.rs
+++ b/crates/lilaccrankd/src/request/pool_retry_budgets.rs
@@ -35,8 +35,8 @@
         let min_parts = f64::from(cfg.daemons.max(1));
         let settings = Settings {
             per_second: 0.0,
-            reserve: cfg.reserve / min_parts,
-            share: cfg.share,
+            capacity: cfg.reserve / min_parts,
+            ratio: cfg.share,
         };
         Self {
             budgets: RefCell::new(RetryBudgets::new(settings)),
@@ -48,7 +48,7 @@
     /// Divides the reserve for `members` members.
     pub fn set_member_count(&self, members: usize) {
         let parts = (members as f64 * PARTS_PER_MEMBER).max(self.min_parts);
-        self.budgets.borrow_mut().set_reserve(self.reserve / parts);
+        self.budgets.borrow_mut().set_capacity(self.reserve / parts);
     }
 
     /// Counts a first send, which earns a share of a retry.
--- a/crates/lilaccrankd/src/request/send_history.rs
+++ b/crates/lilaccrankd/src/request/send_history.rs
@@ -3,9 +3,9 @@
 use std::time::Instant;
 
 use bytes::Bytes;
-use lilaccrank::attempts::{Allowed, Attempts, Failure};
-use lilaccrank::error_kind::Ran;
-use lilaccrank::target_life::TargetLife;
+use lilaccrank::attempts::{Attempts, Failure, RetryPolicy};
+use lilaccrank::error_kind::Executed;
+use lilaccrank::target_instance::TargetInstance;
 
 use crate::callers::refusal::{Refusal, Result};
 use crate::daemon::Daemon;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct PriorSends {
     /// Targets that must not get the request again.
-    pub exclusions: Vec<TargetLife>,
+    pub exclusions: Vec<TargetInstance>,
     /// Time since which the caller has awaited the next part of its answer.
     pub waiting_since: Instant,
 }
@@ -40,10 +40,10 @@
     #[must_use]
     pub fn new(routed: &RoutedRequest) -> Self {
         let terms = &routed.route.terms;
-        let allowed = Allowed {
+        let allowed = RetryPolicy {
             idempotent: routed.is_idempotent(),
             resumable: terms.resumable,
-            runs: terms.attempts.unwrap_or(1),
+            max_runs: terms.attempts.unwrap_or(1),
         };
         Self {
             answer: None,
@@ -66,15 +66,15 @@
     /// Returns `true` if another target may resume an answer that the caller has in part.
     #[must_use]
     pub fn can_resume(&self) -> bool {
-        self.attempts.clone().failed(Failure::BrokenOff)
+        self.attempts.clone().record_failure(Failure::BrokenOff)
     }
 
     /// Records that another target resumes the answer of `target`, which is still running the
     /// request.
-    pub fn record_migration(&mut self, target: TargetLife) {
+    pub fn record_migration(&mut self, target: TargetInstance) {
         self.prior.exclusions.push(target);
         self.prior.waiting_since = Instant::now();
-        self.attempts.failed(Failure::BrokenOff);
+        self.attempts.record_failure(Failure::BrokenOff);
     }
 
     /// Records a failed send. Returns the result of the request, or `None` if it is to be sent
@@ -83,7 +83,7 @@
         &mut self,
         daemon: &Daemon,
         routed: &RoutedRequest,
-        target: TargetLife,
+        target: TargetInstance,
         failed: SendFailure,
         buffer: &AnswerBuffer,
     ) -> Option<Result<()>> {
@@ -100,10 +100,10 @@
         if failed.answer.is_some() {
             self.answer = failed.answer;
         }
-        let will_retry = self.attempts.failed(failed.failure)
-            && !failed.refusal.kind.is_from_outside()
+        let will_retry = self.attempts.record_failure(failed.failure)
+            && !failed.refusal.kind.is_unrelated_to_target()
             && (failed.failure == Failure::Unsent
-                || daemon.second_sends.try_take(daemon, &routed.route.pool));
+                || daemon.retry_budgets.try_take(daemon, &routed.route.pool));
         log::info!(
             again = will_retry,
             connection_lost = failed.refusal.connection_lost,
@@ -143,9 +143,9 @@
         }
         // An earlier send may have run, even though no target takes the request now.
         let last = match self.refusal.take() {
-            Some(earlier) if refusal.ran == Ran::No => earlier,
+            Some(earlier) if refusal.ran == Executed::No => earlier,
             _ => refusal,
         };
-        Err(last.ran(Ran::Maybe))
+        Err(last.ran(Executed::Maybe))
     }
 }
--- a/crates/lilaccrankd/src/request/spill.rs
+++ b/crates/lilaccrankd/src/request/spill.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderValue, RETRY_AFTER, TRANSFER_ENCODING};
 use hyper::{Request, Response, StatusCode};
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank_http::body::{self, Body};
 use rand::seq::IndexedRandom;
 use serde::Deserialize;
@@ -35,7 +35,7 @@
 struct Details {
     kind: ErrorKind,
     message: String,
-    ran: Ran,
+    ran: Executed,
 }
 
 /// Returns `true` if another data centre may be able to serve a request that was refused with
@@ -68,8 +68,8 @@
         };
         match try_data_centre(daemon, caller, other.callers, deadline, buffer).await {
             // No daemon there could be reached, so the earlier refusal still holds.
-            Err(refusal) if refusal.ran == Ran::No && refusal.retry_after.is_none() => {}
-            Err(refusal) if refusal.ran == Ran::No => refused = refusal,
+            Err(refusal) if refusal.ran == Executed::No && refusal.retry_after.is_none() => {}
+            Err(refusal) if refusal.ran == Executed::No => refused = refusal,
             other => return other,
         }
     }
--- a/crates/lilaccrankd/src/serve.rs
+++ b/crates/lilaccrankd/src/serve.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon's tasks and runs them until it is told to end.
+//! Starts the daemon's listeners and tasks, and runs them until shutdown.
 
 use std::future;
 use std::io;
@@ -40,35 +40,35 @@
 /// Result of running the daemon.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// How often what is over its time is dropped.
+/// Interval at which expired answers and claims are removed.
 const EXPIRE_EVERY: Duration = Duration::from_secs(1);
-/// How often the keeper looks for pauses and for keys that are over their time.
+/// Interval at which the keeper checks for pauses of the process and for expired keys.
 const KEEPER_TICK: Duration = Duration::from_millis(100);
 
 /// Why the daemon can't run.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// An address can't be listened on.
+    /// An address can't be bound.
     #[error("can't listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The metrics can't be registered.
     #[error("metrics: {0}")]
     Metrics(#[from] prometheus::Error),
-    /// The runtime or the signal handlers can't be made.
+    /// The runtime or the signal handlers can't be created.
     #[error("the system refused: {0}")]
     System(#[from] io::Error),
 }
 
-/// Runs a daemon until it is told to end.
+/// Runs a daemon until it shuts down.
 ///
 /// # Errors
 ///
-/// If it can't start.
+/// If the daemon can't start.
 pub fn run(cfg: Settings, ports: Ports) -> Result<()> {
     let signals = Signals::register()?;
     runtime::block_on(serve(cfg, ports, signals))?
@@ -114,11 +114,11 @@
         answer_peer(Rc::clone(&shared), req)
     }));
     let admin_closing = Closing::default();
-    let (shared, asked) = (Rc::clone(&daemon), signals.clone());
+    let (shared, admin_signals) = (Rc::clone(&daemon), signals.clone());
     monoio::spawn(server::serve(
         admin_listener,
         admin_closing.clone(),
-        move |req| admin::handle(Rc::clone(&shared), asked.clone(), req),
+        move |req| admin::handle(Rc::clone(&shared), admin_signals.clone(), req),
     ));
     if let Some(listener) = readiness_listener {
         let shared = Rc::clone(&daemon);
@@ -144,7 +144,7 @@
         version = env!("CARGO_PKG_VERSION");
         "started"
     );
-    signals.asked().await;
+    signals.wait_for_shutdown().await;
     shutdown::run(&daemon, [&closing, &admin_closing], &signals).await;
     Ok(())
 }
@@ -156,18 +156,18 @@
     monoio::spawn(async move { claims.sweep_every(EXPIRE_EVERY).await });
 }
 
-/// Takes over and hands over duties as members come and go.
+/// Updates pools, retry budgets and orders on each membership change.
 async fn follow_members(daemon: Rc<Daemon>) {
     let mut seen = 0;
     loop {
         seen = daemon.membership.changed(seen).await;
         log::info!(
-            "members now: {}, this life: {}",
+            "membership changed: {} members, this daemon is {}",
             daemon.membership.live().members.len(),
             daemon.duties.me(),
         );
         daemon
-            .second_sends
+            .retry_budgets
             .set_member_count(daemon.membership.live().members.len());
         pools::server::members_changed(&daemon);
         pools::client::resync_dispatchers(&daemon);
@@ -179,7 +179,7 @@
 async fn expire(daemon: Rc<Daemon>) {
     loop {
         monoio::time::sleep(EXPIRE_EVERY).await;
-        daemon.answers.expire();
+        daemon.answer_cache.expire();
     }
 }
 
@@ -187,7 +187,7 @@
     daemon.timeline.observe(&req.stamp);
     let message = match req.message {
         PeerRequest::Announcement(announcement) => {
-            configuration::announced(&daemon, announcement).into()
+            configuration::handle_announcement(&daemon, announcement).into()
         }
         PeerRequest::Configuration(ask) => exchange::answer(&daemon.adoption, &ask).into(),
         PeerRequest::Held(HeldConfigurationRequest) => HeldConfiguration {
@@ -209,7 +209,8 @@
     server::bind(address).map_err(|source| Error::Listen { address, source })
 }
 
-/// Each life of a vm starts later than the one before.
+/// Returns the start time in milliseconds since the Unix epoch, so that a restarted VM has a higher
+/// incarnation.
 fn incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH);
     since.map_or(0, |since| {
--- a/crates/lilaccrankd/src/targets/call.rs
+++ b/crates/lilaccrankd/src/targets/call.rs
@@ -1,26 +1,26 @@
-//! Sends something to a target that must not be sent twice.
+//! Sends requests to a target that must not be sent twice.
 
 use std::time::Duration;
 
 use hyper::body::Incoming;
 use hyper::{Request, Response};
-use lilaccrank::error_kind::{ErrorKind, Ran};
+use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank_http::body::Body;
 use lilaccrank_http::client::{Client, Connection, Error, Limits};
 
 use crate::callers::refusal::{Refusal, Result};
 
-/// Time for a connection to a target.
+/// Timeout of connecting to a target.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Sends `req` on a new connection and waits for the head of its answer.
+/// Sends `req` on a new connection and waits for the head of the answer.
 ///
-/// An idle connection may have died without a word, and a request sent on it could neither be
-/// called not run nor be sent again.
+/// An idle connection may be dead without notice. Whether a request sent on it has run would be
+/// unknown, so it could neither be refused as not run nor be sent again.
 ///
 /// # Errors
 ///
-/// [`Ran::No`] only if no connection could be made.
+/// [`Executed::No`] only if no connection could be made.
 pub async fn send(
     client: &Client,
     address: &str,
@@ -42,9 +42,9 @@
         Error::Connect { .. } | Error::Exchange { .. } => ErrorKind::TargetFailed,
     };
     let ran = if e.sent_nothing() {
-        Ran::No
+        Executed::No
     } else {
-        Ran::Maybe
+        Executed::Maybe
     };
     let refusal = Refusal::new(kind, e.to_string()).ran(ran);
     if e.is_connection_lost() {
