--- a/crates/lilaccrank/src/dispatch/choice.rs
+++ b/crates/lilaccrank/src/dispatch/choice.rs
@@ -121,7 +121,7 @@
     /// Computes the occupancy of the live and healthy targets.
     #[must_use]
     pub fn of(targets: &IndexMap<TargetInstance, Target>, now: Instant) -> Self {
-        let is_healthy = |target: &&Target| target.health.state() == health::State::Well;
+        let is_healthy = |target: &&Target| target.health.state() == health::State::Healthy;
         let healthy = targets
             .values()
             .filter(|target| target.live)
@@ -174,15 +174,15 @@
         (false, false) => slots / HEADROOM_DIVISOR,
     };
     let accepts_work = match target.health.state() {
-        health::State::Hung => {
+        health::State::Unresponsive => {
             // Urgent work is sent on a trial only if no target is healthy.
             let is_short = needs.work.prefill <= LONG_PROMPT_TOKENS;
             target.health.is_trial_due(now)
                 && is_short
                 && (!urgent || occupancy.healthy_targets == 0)
         }
-        health::State::Trial => false,
-        health::State::Well => {
+        health::State::HalfOpen => false,
+        health::State::Healthy => {
             needs.has_objective() || occupancy.admits(needs.tier, needs.lane, needs.work.prefill)
         }
     };
--- a/crates/lilaccrank/src/dispatch/delay.rs
+++ b/crates/lilaccrank/src/dispatch/delay.rs
@@ -76,7 +76,7 @@
             };
             let cached = holder.blocks as u64 * u64::from(needs.block_tokens);
             let saving = cached.min(needs.work.prefill);
-            let healthy = target.live && target.health.state() == health::State::Well;
+            let healthy = target.live && target.health.state() == health::State::Healthy;
             if choice::is_eligible(target, &needs, occupancy, now) {
                 eligible_saving = eligible_saving.max(saving);
             } else if healthy && !needs.exclusions.contains(holder.target) && saving > busy_saving {
@@ -102,7 +102,7 @@
         let healthy = self
             .targets
             .values()
-            .filter(|target| target.live && target.health.state() == health::State::Well);
+            .filter(|target| target.live && target.health.state() == health::State::Healthy);
         let rates = healthy.map(|target| target.estimate.prefill_rate(now));
         rates.fold(f64::INFINITY, f64::min)
     }
--- a/crates/lilaccrank/src/dispatch/health.rs
+++ b/crates/lilaccrank/src/dispatch/health.rs
@@ -22,14 +22,17 @@
 pub enum State {
     /// Silent or failing; gets no requests.
     #[display("hung")]
-    Hung,
+    #[serde(rename = "hung")]
+    Unresponsive,
     /// Hung, with one short trial request in progress.
     #[display("trial")]
-    Trial,
+    #[serde(rename = "trial")]
+    HalfOpen,
     /// Responding.
     #[default]
     #[display("well")]
-    Well,
+    #[serde(rename = "well")]
+    Healthy,
 }
 
 /// Health record of one target.
@@ -54,7 +57,7 @@
             error_rate_at: now,
             consecutive_failures: 0,
             last_activity: now,
-            state: State::Well,
+            state: State::Healthy,
             trial_at: now,
             trial_backoff: INITIAL_TRIAL_BACKOFF,
         }
@@ -69,15 +72,15 @@
     /// Returns `true` if a trial request may be sent.
     #[must_use]
     pub fn is_trial_due(&self, now: Instant) -> bool {
-        self.state == State::Hung && now >= self.trial_at
+        self.state == State::Unresponsive && now >= self.trial_at
     }
 
     /// Records a grant and returns `true` if it is a trial. `is_idle` means that nothing else runs
     /// on the target, so that its silence counts from now on.
     pub fn record_grant(&mut self, is_idle: bool, now: Instant) -> bool {
-        let is_trial = self.state == State::Hung;
+        let is_trial = self.state == State::Unresponsive;
         if is_trial {
-            self.state = State::Trial;
+            self.state = State::HalfOpen;
         }
         if is_idle || is_trial {
             self.last_activity = now;
@@ -89,7 +92,7 @@
     pub fn record_activity(&mut self, now: Instant) {
         self.consecutive_failures = 0;
         self.last_activity = now;
-        self.state = State::Well;
+        self.state = State::Healthy;
         self.trial_backoff = INITIAL_TRIAL_BACKOFF;
     }
 
@@ -124,15 +127,15 @@
     /// Records a request without a complete answer.
     pub fn record_failure(&mut self, now: Instant) {
         self.consecutive_failures += 1;
-        if self.consecutive_failures >= FAILURE_THRESHOLD || self.state == State::Trial {
-            self.mark_hung(now);
+        if self.consecutive_failures >= FAILURE_THRESHOLD || self.state == State::HalfOpen {
+            self.mark_unresponsive(now);
         }
     }
 
     /// Ends a trial without a result; another one may follow at once.
     pub fn cancel_trial(&mut self, now: Instant) {
-        if self.state == State::Trial {
-            self.state = State::Hung;
+        if self.state == State::HalfOpen {
+            self.state = State::Unresponsive;
             self.trial_at = now;
         }
     }
@@ -141,13 +144,13 @@
     /// with running requests only.
     pub fn check_silence(&mut self, timeout: Duration, now: Instant) {
         let silence = now.saturating_duration_since(self.last_activity);
-        if self.state != State::Hung && silence > timeout {
-            self.mark_hung(now);
+        if self.state != State::Unresponsive && silence > timeout {
+            self.mark_unresponsive(now);
         }
     }
 
-    fn mark_hung(&mut self, now: Instant) {
-        self.state = State::Hung;
+    fn mark_unresponsive(&mut self, now: Instant) {
+        self.state = State::Unresponsive;
         self.trial_at = now + self.trial_backoff;
         self.trial_backoff = (self.trial_backoff * 2).min(MAX_TRIAL_BACKOFF);
     }
--- a/crates/lilaccrank/tests/suite/dispatch_faults.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_faults.rs
@@ -129,14 +129,14 @@
 // answers. After a silence longer than any expected step it gets no requests, then one cheap bulk
 // request as a trial, and all kinds again once it answers.
 #[test]
-fn hung_target_is_detected_and_retried() {
+fn unresponsive_target_is_detected_and_retried() {
     let mut harness = harness(&[8, 1]);
     harness.submit(submission("silent", 0));
     assert_eq!(harness.grants(), granted("silent", "t0"));
     harness.report("silent", "t0", ReportKind::Began);
     harness.advance(Duration::from_secs(4));
     let health = |harness: &Harness| harness.dispatcher.status().targets[0].health;
-    assert_eq!(health(&harness), State::Hung);
+    assert_eq!(health(&harness), State::Unresponsive);
     harness.submit(submission("urgent", 0));
     assert_eq!(harness.grants(), granted("urgent", "t1"));
     harness.submit(submission("waits", 0));
@@ -149,7 +149,7 @@
     harness.submit(submission("cheap", 3));
     assert_eq!(harness.grants(), granted("cheap", "t0"));
     harness.report("silent", "t0", FIRST_TOKEN);
-    assert_eq!(health(&harness), State::Well);
+    assert_eq!(health(&harness), State::Healthy);
     assert_eq!(
         harness.grants().len(),
         2,
--- a/crates/lilaccrank/tests/suite/dispatch_restarts.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_restarts.rs
@@ -88,7 +88,7 @@
     harness.verdicts();
     harness.advance(Duration::from_secs(60));
     let degraded = harness.dispatcher.status().targets[0].clone();
-    assert_eq!(degraded.health, State::Hung);
+    assert_eq!(degraded.health, State::Unresponsive);
     assert!(degraded.slowness > 1.0 && degraded.cached_blocks > 0);
     restart_target(&mut harness);
     let status = harness.dispatcher.status();
