--- a/crates/lilaccrank/src/dispatch/choice.rs
+++ b/crates/lilaccrank/src/dispatch/choice.rs
@@ -6,7 +6,7 @@
 
 use super::affinity::Affinity;
 use super::health;
-use super::queue::{Lane, Priority};
+use super::queue::{Priority, SizeClass};
 use super::reservation::Reservation;
 use super::target::Target;
 use super::work::Work;
@@ -69,7 +69,7 @@
     /// Time until the caller expects the first token, if it has an objective.
     pub objective: Option<Duration>,
     /// Lane of the ask in the queue.
-    pub lane: Lane,
+    pub size_class: SizeClass,
     /// Digests of the blocks of the prompt.
     pub prefix: &'a [u64],
     /// Priority of the ask.
@@ -139,7 +139,7 @@
     /// can't be interrupted, and with a long prompt on every target a short urgent request would
     /// wait for seconds.
     #[must_use]
-    pub fn admits(self, tier: Tier, lane: Lane, prefill: u64) -> bool {
+    pub fn admits(self, tier: Tier, size_class: SizeClass, prefill: u64) -> bool {
         if is_urgent(tier) {
             return true;
         }
@@ -148,7 +148,7 @@
             slots => slots.div_ceil(HEADROOM_DIVISOR),
         };
         let max_long_prefills = (self.healthy_targets - self.healthy_targets / 4).max(1);
-        let is_long = lane == Lane::Long || prefill > LONG_PROMPT_TOKENS;
+        let is_long = size_class == SizeClass::Long || prefill > LONG_PROMPT_TOKENS;
         self.taken.saturating_add(headroom) < self.slots
             && (!is_long || self.long_prefills < max_long_prefills)
     }
@@ -183,7 +183,8 @@
         }
         health::State::HalfOpen => false,
         health::State::Healthy => {
-            needs.has_objective() || occupancy.admits(needs.tier, needs.lane, needs.work.prefill)
+            needs.has_objective()
+                || occupancy.admits(needs.tier, needs.size_class, needs.work.prefill)
         }
     };
     target.live
--- a/crates/lilaccrank/src/dispatch/fair.rs
+++ b/crates/lilaccrank/src/dispatch/fair.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::queue::{Item, Lane};
+use super::queue::{Item, SizeClass};
 use super::work::Work;
 use crate::ids::{CustomerId, RequestId};
 
@@ -26,22 +26,22 @@
 #[derive(Debug, Default)]
 struct Flow {
     backlog: Work,
-    lanes: [BTreeMap<u64, RequestId>; Lane::ALL.len()],
+    size_classes: [BTreeMap<u64, RequestId>; SizeClass::ALL.len()],
     virtual_time: u64,
     weight: u64,
 }
 
 impl Flow {
     fn is_empty(&self) -> bool {
-        self.lanes.iter().all(BTreeMap::is_empty)
+        self.size_classes.iter().all(BTreeMap::is_empty)
     }
 
     fn weighted_backlog(&self) -> u64 {
         self.backlog.tokens() * VIRTUAL_TIME_PER_TOKEN / self.weight
     }
 
-    fn position(&self, lane: Lane) -> Option<Position> {
-        let (&sequence, request) = self.lanes[lane as usize].first_key_value()?;
+    fn position(&self, size_class: SizeClass) -> Option<Position> {
+        let (&sequence, request) = self.size_classes[size_class as usize].first_key_value()?;
         Some(Position {
             virtual_time: self.virtual_time,
             sequence,
@@ -50,7 +50,10 @@
     }
 
     fn newest(&self) -> Option<&RequestId> {
-        let last = self.lanes.iter().filter_map(BTreeMap::last_key_value);
+        let last = self
+            .size_classes
+            .iter()
+            .filter_map(BTreeMap::last_key_value);
         last.max_by_key(|(sequence, _)| **sequence)
             .map(|(_, request)| request)
     }
@@ -61,7 +64,7 @@
 pub struct FairQueue {
     weighted_backlogs: BTreeSet<(u64, CustomerId)>,
     flows: IndexMap<CustomerId, Flow>,
-    heads: [BTreeSet<Position>; Lane::ALL.len()],
+    heads: [BTreeSet<Position>; SizeClass::ALL.len()],
     idle: usize,
     len: usize,
     total: Work,
@@ -83,7 +86,7 @@
                 false => flow.virtual_time,
             };
             flow.backlog += item.work;
-            flow.lanes[item.lane as usize].insert(sequence, item.request.clone());
+            flow.size_classes[item.size_class as usize].insert(sequence, item.request.clone());
         });
         self.len += 1;
         self.total += item.work;
@@ -93,7 +96,7 @@
     pub fn remove(&mut self, item: &Item, sequence: u64) {
         self.update(&item.customer, |flow| {
             flow.backlog -= item.work;
-            flow.lanes[item.lane as usize].remove(&sequence);
+            flow.size_classes[item.size_class as usize].remove(&sequence);
         });
         self.len -= 1;
         self.total -= item.work;
@@ -114,8 +117,8 @@
     }
 
     /// First ask of each customer in a lane, in order.
-    pub fn heads(&self, lane: Lane) -> impl Iterator<Item = &Position> + '_ {
-        self.heads[lane as usize].iter()
+    pub fn heads(&self, size_class: SizeClass) -> impl Iterator<Item = &Position> + '_ {
+        self.heads[size_class as usize].iter()
     }
 
     /// Newest ask of the customer with the largest backlog per weight.
@@ -159,9 +162,9 @@
     /// Updates one flow and keeps the ordered sets consistent with it.
     fn update(&mut self, customer: &str, f: impl FnOnce(&mut Flow)) {
         let flow = self.flows.entry(customer.to_owned()).or_default();
-        for lane in Lane::ALL {
-            if let Some(position) = flow.position(lane) {
-                self.heads[lane as usize].remove(&position);
+        for size_class in SizeClass::ALL {
+            if let Some(position) = flow.position(size_class) {
+                self.heads[size_class as usize].remove(&position);
             }
         }
         if !flow.is_empty() {
@@ -169,8 +172,8 @@
                 .remove(&(flow.weighted_backlog(), customer.to_owned()));
         }
         f(flow);
-        for lane in Lane::ALL {
-            self.heads[lane as usize].extend(flow.position(lane));
+        for size_class in SizeClass::ALL {
+            self.heads[size_class as usize].extend(flow.position(size_class));
         }
         if !flow.is_empty() {
             self.weighted_backlogs
--- a/crates/lilaccrank/src/dispatch/grants.rs
+++ b/crates/lilaccrank/src/dispatch/grants.rs
@@ -6,7 +6,7 @@
 use super::delay::DELAY_SCAN_LIMIT;
 use super::fair::Position;
 use super::message::{Entry, Unmeetable};
-use super::queue::{Lane, Priority};
+use super::queue::{Priority, SizeClass};
 use super::state::{ActiveGrant, State, Waiting, work};
 use super::work::Work;
 use crate::ids::RequestId;
@@ -170,7 +170,7 @@
         self.queue.priorities().find_map(|priority| {
             // Resumed answers go first: otherwise their completed prefill and generated tokens
             // would be lost.
-            let resumed = self.next_eligible(priority, Lane::Resumed, occupancy, now);
+            let resumed = self.next_eligible(priority, SizeClass::Resumed, occupancy, now);
             let next = resumed.or_else(|| self.next_unstarted(priority, occupancy, now));
             next.map(|position| position.request.clone())
         })
@@ -181,11 +181,14 @@
     fn next_eligible(
         &self,
         priority: Priority,
-        lane: Lane,
+        size_class: SizeClass,
         occupancy: Occupancy,
         now: Instant,
     ) -> Option<&Position> {
-        let mut heads = self.queue.heads(priority, lane).take(RESTRICTED_SCAN_LIMIT);
+        let mut heads = self
+            .queue
+            .heads(priority, size_class)
+            .take(RESTRICTED_SCAN_LIMIT);
         heads.find(|position| self.is_eligible(&position.request, occupancy, now))
     }
 
@@ -196,12 +199,12 @@
         occupancy: Occupancy,
         now: Instant,
     ) -> Option<&Position> {
-        let excluding = self.next_eligible(priority, Lane::Excluding, occupancy, now);
-        let lanes = [Lane::Long, Lane::Short].into_iter();
-        let candidates = lanes.filter_map(|lane| {
+        let excluding = self.next_eligible(priority, SizeClass::Excluding, occupancy, now);
+        let size_classes = [SizeClass::Long, SizeClass::Short].into_iter();
+        let candidates = size_classes.filter_map(|size_class| {
             let mut heads = self
                 .queue
-                .heads(priority, lane)
+                .heads(priority, size_class)
                 .take(DELAY_SCAN_LIMIT)
                 .peekable();
             let position = heads.peek()?;
--- a/crates/lilaccrank/src/dispatch/queue.rs
+++ b/crates/lilaccrank/src/dispatch/queue.rs
@@ -17,7 +17,7 @@
 
 /// Kinds of asks that need different targets, so that one kind doesn't block another.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Lane {
+pub enum SizeClass {
     /// Resumes an answer on another target.
     Resumed,
     /// Excludes some targets.
@@ -28,7 +28,7 @@
     Short,
 }
 
-impl Lane {
+impl SizeClass {
     /// All lanes.
     pub const ALL: [Self; 4] = [Self::Resumed, Self::Excluding, Self::Long, Self::Short];
 }
@@ -48,7 +48,7 @@
     /// Customer that the request belongs to.
     pub customer: CustomerId,
     /// Lane that the ask waits in.
-    pub lane: Lane,
+    pub size_class: SizeClass,
     /// Id of the request.
     pub request: RequestId,
     /// Priority of the ask.
@@ -124,20 +124,24 @@
     /// use only targets that finish them in time, so a slot held for them would mostly stay unused.
     #[must_use]
     pub fn first_competing_priority(&self) -> Option<Priority> {
-        let lanes = [Lane::Excluding, Lane::Long, Lane::Short];
+        let size_classes = [SizeClass::Excluding, SizeClass::Long, SizeClass::Short];
         let has_competing_submission = |priority: &Priority| {
-            let mut lanes = lanes.into_iter();
-            lanes.any(|lane| self.heads(*priority, lane).next().is_some())
+            let mut size_classes = size_classes.into_iter();
+            size_classes.any(|size_class| self.heads(*priority, size_class).next().is_some())
         };
         self.priorities().find(has_competing_submission)
     }
 
     /// First ask of each customer in one lane, in fair order.
-    pub fn heads(&self, priority: Priority, lane: Lane) -> impl Iterator<Item = &Position> + '_ {
+    pub fn heads(
+        &self,
+        priority: Priority,
+        size_class: SizeClass,
+    ) -> impl Iterator<Item = &Position> + '_ {
         self.priorities
             .get(&priority)
             .into_iter()
-            .flat_map(move |queue| queue.heads(lane))
+            .flat_map(move |queue| queue.heads(size_class))
     }
 
     /// The ask to shed next: the newest one of the customer with the largest backlog per weight, in
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -106,7 +106,7 @@
     }
 
     /// Returns the lane: requests with different needs of targets do not block each other.
-    fn lane(&self) -> (bool, bool, bool) {
+    fn size_class(&self) -> (bool, bool, bool) {
         let partial = self.submission.partial.is_some();
         let excluding = !partial && !self.submission.exclusions.is_empty();
         (partial, excluding, self.is_long() && !excluding && !partial)
@@ -230,12 +230,12 @@
     fn next(&self, targets: &[TargetStatus]) -> Option<(String, BTreeSet<String>)> {
         let mut blocked = BTreeSet::new();
         for waiting in self.sorted() {
-            let customer_lane = (
+            let customer_size_class = (
                 waiting.submission.tier,
                 waiting.submission.customer.clone(),
-                waiting.lane(),
+                waiting.size_class(),
             );
-            if !blocked.insert(customer_lane) {
+            if !blocked.insert(customer_size_class) {
                 continue;
             }
             let eligible = self.eligible(waiting, targets);
