--- a/crates/lilaccrank/src/request_key/claims.rs
+++ b/crates/lilaccrank/src/request_key/claims.rs
@@ -1,4 +1,4 @@
-//! The side that claims: the entry daemon of a request.
+//! Claims request keys on behalf of the entry daemon of a request.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -14,10 +14,10 @@
 use crate::peers::Peers;
 use crate::request_key::budget::Budget;
 use crate::request_key::claim::{Claim, Claimed};
-use crate::request_key::held::{Asked, Held};
-use crate::request_key::keeper::Keeper;
+use crate::request_key::guard::{ClaimGuard, PendingClaim};
 use crate::request_key::key_id::{BodyDigest, KeyId};
 use crate::request_key::message::{KeyReply, KeyRequest};
+use crate::request_key::owner::KeyOwner;
 use crate::request_key::ranking::{MemberRef, Ranking};
 use crate::request_key::record::{Holder, Record, Stage};
 use crate::store::{self, Expect, Store};
@@ -25,44 +25,44 @@
 /// Result of a claim or of its mark.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Longest wait between two tries to reach the keeper.
+/// Longest wait between two calls to the owner.
 const RETRY_LIMIT: Duration = Duration::from_millis(200);
-/// First wait between two tries to reach the keeper.
+/// First wait between two calls to the owner.
 const RETRY_FIRST: Duration = Duration::from_millis(10);
-/// Messages kept for a keeper that could not be reached; past it the oldest is dropped, and its
-/// record is answered as in progress until this daemon leaves.
+/// Maximum number of messages queued for unreachable owners. Beyond it the oldest is dropped,
+/// and its key is reported as in progress until this daemon leaves.
 const UNSENT_LIMIT: usize = 10_000;
-/// Objects deleted from the store by one sweep.
+/// Maximum number of objects that one sweep deletes from the store.
 const SWEEP_LIMIT: usize = 64;
 
-/// Why a key could not be claimed or marked. Nothing was sent to a target by this daemon.
+/// Error of a claim or of its mark. This daemon has sent nothing to a target.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// The key was dispatched before, or is now by another daemon.
+    /// A request with this key was dispatched before, or is being dispatched by another daemon.
     #[error("a request with this key was run before")]
     AlreadyRun {
-        /// How it failed, if that is known.
+        /// How the request failed, if known.
         failed: Option<ErrorKind>,
     },
-    /// The keeper has no room for another key.
+    /// The record table of the owner or of its backup is full.
     #[error("no room for another request key")]
     Full,
-    /// The key was used for another body.
+    /// The key was used before with a different body.
     #[error("the request key was used for another body")]
     KeyReused,
-    /// The budget of calls to the store is used up.
+    /// The rate limit of calls to the store is exceeded, or the store throttles them.
     #[error("too many non-idempotent requests")]
     RateLimited,
-    /// The store can't be asked.
+    /// The store is unavailable.
     #[error("the store can't be asked")]
     StoreUnavailable,
-    /// The keeper could not be asked, or does not know all records yet.
+    /// The owner or its backup could not be reached, or the owner hasn't fetched all records yet.
     #[error("the keeper of the request key can't tell yet")]
     Unsettled,
 }
 
 impl Error {
-    /// What the caller is told.
+    /// Kind of the error in the answer to the caller.
     #[must_use]
     pub fn kind(&self) -> ErrorKind {
         match self {
@@ -75,27 +75,27 @@
         }
     }
 
-    /// Whether a target may have been given the request.
+    /// Says if the request may have been sent to a target.
     #[must_use]
-    pub fn ran(&self) -> Executed {
+    pub fn executed(&self) -> Executed {
         self.kind().response().executed
     }
 }
 
-/// A request that wants its key.
+/// Parameters of a claim.
 #[derive(Clone, Debug)]
-pub struct Wanted {
-    /// Digest of the body.
+pub struct ClaimRequest {
+    /// Digest of the request.
     pub body: BodyDigest,
-    /// Scope of the key.
+    /// Customer whose key it is; equal keys of different customers are unrelated.
     pub customer: CustomerId,
-    /// False if the request must not run more than once.
+    /// If `false`, the request must not run more than once.
     pub idempotent: bool,
-    /// The caller's key.
+    /// Key that the caller chose.
     pub key: RequestKey,
 }
 
-/// What a request may do with its key.
+/// Successful result of a claim.
 #[must_use]
 pub enum Access<C, P, R, S>
 where
@@ -104,21 +104,21 @@
     R: Ranking,
     S: Store,
 {
-    /// This daemon holds the claim.
+    /// This daemon holds the claim and may mark it.
     Granted(Claim<Claimed, C, P, R, S>),
-    /// Take the whole answer from this entry.
+    /// The request has ended and `entry` caches its complete answer.
     Held {
-        /// The entry.
+        /// The entry daemon.
         entry: MemberRef,
     },
-    /// Attach to the running answer at this entry.
+    /// The request is in progress at `entry`, whose answer the caller can attach to.
     Running {
-        /// The entry.
+        /// The entry daemon.
         entry: MemberRef,
     },
 }
 
-/// Claims keys for the requests of one entry daemon; clones share its state.
+/// Claims keys for the requests of one entry daemon. Clones share its state.
 pub struct Claims<C, P, R, S> {
     pub(super) inner: Rc<Inner<C, P, R, S>>,
 }
@@ -126,10 +126,10 @@
 pub(super) struct Inner<C, P, R, S> {
     attempts: Cell<u64>,
     pub(super) budget: Budget<C>,
-    pub(super) keeper: Keeper<C, P, R>,
+    pub(super) owner: KeyOwner<C, P, R>,
     pub(super) store: S,
     unsent: RefCell<VecDeque<(KeyId, KeyRequest)>>,
-    wait_at_most: Duration,
+    retry_timeout: Duration,
 }
 
 impl<C, P, R, S> Clone for Claims<C, P, R, S> {
@@ -147,54 +147,54 @@
     R: Ranking,
     S: Store,
 {
-    /// Claims through this daemon's own `keeper`, which stands for it at the others. A keeper
-    /// that can't tell is asked again for `wait_at_most`.
+    /// Creates the claims of a daemon, whose own key owner is `owner`. Calls to the owner of a
+    /// key are retried for `retry_timeout` while it can't be reached or isn't settled.
     #[must_use]
     pub fn new(
-        keeper: Keeper<C, P, R>,
+        owner: KeyOwner<C, P, R>,
         store: S,
         budget: Budget<C>,
-        wait_at_most: Duration,
+        retry_timeout: Duration,
     ) -> Self {
         let inner = Inner {
             attempts: Cell::new(0),
             budget,
-            keeper,
+            owner,
             store,
             unsent: RefCell::new(VecDeque::new()),
-            wait_at_most,
+            retry_timeout,
         };
         Self {
             inner: Rc::new(inner),
         }
     }
 
-    /// Claims the key of `wanted`, or says where its answer is.
+    /// Claims the key of `request`, or returns the entry that has its answer.
     ///
     /// # Errors
     ///
-    /// All kinds but [`Error::RateLimited`] and [`Error::StoreUnavailable`].
-    pub async fn claim(&self, wanted: &Wanted) -> Result<Access<C, P, R, S>> {
-        let id = KeyId::new(&wanted.customer, &wanted.key);
+    /// Any error but [`Error::RateLimited`] and [`Error::StoreUnavailable`].
+    pub async fn claim(&self, request: &ClaimRequest) -> Result<Access<C, P, R, S>> {
+        let id = KeyId::new(&request.customer, &request.key);
         let attempt = self.inner.attempts.get() + 1;
         self.inner.attempts.set(attempt);
         let entry = self.me();
         let req = KeyRequest::Claim {
             attempt,
-            body: wanted.body,
+            body: request.body,
             entry: entry.clone(),
             id,
-            idempotent: wanted.idempotent,
+            idempotent: request.idempotent,
         };
-        let mut asked = Asked {
+        let mut pending = PendingClaim {
             answered: false,
             attempt,
             claims: self.clone(),
             entry: entry.clone(),
             id,
         };
-        let reply = self.ask(&id, req).await;
-        asked.answered = !matches!(reply, KeyReply::NotKeeper | KeyReply::Unsettled);
+        let reply = self.call_owner(&id, req).await;
+        pending.answered = !matches!(reply, KeyReply::NotOwner | KeyReply::Unsettled);
         match reply {
             KeyReply::Claimed {
                 claim,
@@ -203,7 +203,7 @@
                 stored,
             } => {
                 let record = Record {
-                    body: wanted.body,
+                    body: request.body,
                     holder: Holder {
                         attempt,
                         claim,
@@ -214,7 +214,7 @@
                     stage: Stage::Claimed,
                     stored,
                 };
-                Ok(Access::Granted(Claim::new(Held::new(
+                Ok(Access::Granted(Claim::new(ClaimGuard::new(
                     self.clone(),
                     id,
                     record,
@@ -229,56 +229,58 @@
         }
     }
 
-    /// Sends what did not reach a keeper, and deletes objects that have outlived their time as
-    /// far as the budget of store calls allows.
+    /// Sends the queued messages, and deletes expired objects from the store as far as its budget
+    /// allows.
     pub async fn sweep(&self) {
         for _ in 0..self.unsent() {
             let next = self.inner.unsent.borrow_mut().pop_front();
             let Some((id, req)) = next else { break };
-            // A silent keeper costs the time limit of a call. Without a stop here a long queue
-            // for it would hold up the messages to all others; so it goes to the end.
-            if !self.send(id, req).await {
+            // A call to an unreachable owner takes its full timeout. The message goes back to the
+            // end of the queue and the loop stops, so that a long queue for one owner doesn't delay
+            // the messages to all others.
+            if !self.send_or_enqueue(id, req).await {
                 break;
             }
         }
-        for id in self.inner.keeper.due_for_deletion(SWEEP_LIMIT) {
-            if !self.inner.budget.try_take_spare() {
+        for id in self.inner.owner.due_for_deletion(SWEEP_LIMIT) {
+            if !self.inner.budget.try_take_low_priority() {
                 return;
             }
             let name = id.object_name();
             match self.inner.store.delete(&name, Expect::Any).await {
-                Ok(()) | Err(store::Error::Conflict { .. }) => self.inner.keeper.forget(&id),
+                Ok(()) | Err(store::Error::Conflict { .. }) => self.inner.owner.forget(&id),
                 Err(_) => return,
             }
         }
     }
 
-    /// Calls [`sweep`](Self::sweep) for ever, once per `every`.
+    /// Calls [`sweep`](Self::sweep) forever, at intervals of `every`.
     pub async fn sweep_every(&self, every: Duration) {
         loop {
-            self.inner.keeper.inner.clock.sleep(every).await;
+            self.inner.owner.inner.clock.sleep(every).await;
             self.sweep().await;
         }
     }
 
-    /// Ends and releases that wait for a keeper that could not be reached, for the metrics.
+    /// Number of queued messages (ends and releases) that no owner has accepted yet.
     #[must_use]
     pub fn unsent(&self) -> usize {
         self.inner.unsent.borrow().len()
     }
 
     pub(super) fn me(&self) -> MemberRef {
-        self.inner.keeper.inner.ranking.me()
+        self.inner.owner.inner.ranking.me()
     }
 
-    /// Asks the keeper of `id` until it can tell, for a bounded time.
-    pub(super) async fn ask(&self, id: &KeyId, req: KeyRequest) -> KeyReply {
-        let clock = &self.inner.keeper.inner.clock;
-        let until = clock.now() + self.inner.wait_at_most;
+    /// Calls the owner of `id`. Retries while it can't be reached or isn't settled, for at most
+    /// `retry_timeout`.
+    pub(super) async fn call_owner(&self, id: &KeyId, req: KeyRequest) -> KeyReply {
+        let clock = &self.inner.owner.inner.clock;
+        let until = clock.now() + self.inner.retry_timeout;
         let mut backoff = Backoff::new(RETRY_FIRST, RETRY_LIMIT);
         loop {
-            let reply = self.ask_once(id, req.clone()).await;
-            let retry = matches!(reply, KeyReply::NotKeeper | KeyReply::Unsettled);
+            let reply = self.call_owner_once(id, req.clone()).await;
+            let retry = matches!(reply, KeyReply::NotOwner | KeyReply::Unsettled);
             if !retry || clock.now() >= until {
                 return reply;
             }
@@ -286,17 +288,18 @@
         }
     }
 
-    /// Tells the keeper once, and later again if it did not take it; whether it did.
-    pub(super) async fn send(&self, id: KeyId, req: KeyRequest) -> bool {
-        let reply = self.ask_once(&id, req.clone()).await;
-        let taken = !matches!(reply, KeyReply::NotKeeper | KeyReply::Unsettled);
-        if !taken {
-            self.send_later(id, req);
+    /// Sends `req` to the owner of `id` once, and queues it if the owner didn't accept it. Returns
+    /// `true` if it did.
+    pub(super) async fn send_or_enqueue(&self, id: KeyId, req: KeyRequest) -> bool {
+        let reply = self.call_owner_once(&id, req.clone()).await;
+        let accepted = !matches!(reply, KeyReply::NotOwner | KeyReply::Unsettled);
+        if !accepted {
+            self.enqueue(id, req);
         }
-        taken
+        accepted
     }
 
-    pub(super) fn send_later(&self, id: KeyId, req: KeyRequest) {
+    pub(super) fn enqueue(&self, id: KeyId, req: KeyRequest) {
         let mut unsent = self.inner.unsent.borrow_mut();
         if unsent.len() == UNSENT_LIMIT {
             unsent.pop_front();
@@ -304,14 +307,14 @@
         unsent.push_back((id, req));
     }
 
-    async fn ask_once(&self, id: &KeyId, req: KeyRequest) -> KeyReply {
-        let inner = &self.inner.keeper.inner;
+    async fn call_owner_once(&self, id: &KeyId, req: KeyRequest) -> KeyReply {
+        let inner = &self.inner.owner.inner;
         let ranked = inner.ranking.ranked(id.hash());
         let Some(first) = ranked.first() else {
             return KeyReply::Unsettled;
         };
         if *first == inner.ranking.me() {
-            return self.inner.keeper.handle(req).await;
+            return self.inner.owner.handle(req).await;
         }
         let reply = inner.peers.call(&first.vm, req).await;
         reply.unwrap_or(KeyReply::Unsettled)
