--- a/crates/lilaccrank/benches/decision.rs
+++ b/crates/lilaccrank/benches/decision.rs
@@ -1,4 +1,5 @@
-//! Benchmarks one decision: a new ask is admitted and queued, a request ends, the next one is granted.
+//! Benchmarks one decision: a new submission is admitted and queued, a request ends, the next one
+//! is granted.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -25,7 +26,7 @@
 const TIERS: usize = 4;
 const WAITING_COUNTS: [usize; 4] = [10, 100, 1_000, 10_000];
 
-/// A pool whose targets are full and whose queue holds a constant number of asks.
+/// A pool whose targets are full and whose queue holds a constant number of submissions.
 struct SaturatedPool {
     submissions: FuturesUnordered<LocalBoxFuture<'static, Verdict>>,
     clock: PausedClock,
--- a/crates/lilaccrank/src/dispatch.rs
+++ b/crates/lilaccrank/src/dispatch.rs
@@ -69,12 +69,13 @@
     pub incarnation: Incarnation,
     /// Lowest tier of the configuration, the only one shed during a handover.
     pub lowest_tier: Tier,
-    /// Minimum time without output after which a target with running requests counts as hung. Model
-    /// engines emit tokens continuously, but a plain service is silent while it works.
+    /// Minimum time without output after which a target with running requests counts as
+    /// unresponsive. Model engines emit tokens continuously, but a plain service is silent while it
+    /// works.
     pub min_hang_timeout: Duration,
     /// VM of this daemon.
     pub vm: VmId,
-    /// Maximum queue length in asks; [`Dispatcher::set_targets`] sets it from the pool.
+    /// Maximum queue length in submissions; [`Dispatcher::set_targets`] sets it from the pool.
     pub waiting_limit: usize,
 }
 
@@ -86,7 +87,7 @@
 }
 
 impl<C: Clock> Dispatcher<C> {
-    /// Creates a dispatcher without targets, which refuses every ask until it has some.
+    /// Creates a dispatcher without targets, which refuses every submission until it has some.
     #[must_use]
     pub fn new(clock: C, cfg: Config) -> Self {
         let state = State::new(cfg, clock.now());
@@ -96,9 +97,9 @@
         }
     }
 
-    /// Submits an ask and waits for its verdict. Dropping the future cancels the ask. A repeated
-    /// ask with a higher number replaces the earlier one; one with the same number gets the same
-    /// verdict.
+    /// Submits a request and waits for its verdict. Dropping the future cancels the submission. A
+    /// repeated submission with a higher number replaces the earlier one; one with the same number
+    /// gets the same verdict.
     pub async fn submit(&self, submission: Submission) -> Verdict {
         let (request, number) = (submission.request.clone(), submission.submission);
         let admission = self.state.borrow_mut().submit(submission, self.clock.now());
@@ -129,7 +130,7 @@
         })
     }
 
-    /// Cancels an ask, whether it is waiting or already granted.
+    /// Cancels a submission, whether it is waiting or already granted.
     pub fn cancel(&self, cancel: &Cancel) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
@@ -184,7 +185,7 @@
         self.state.borrow_mut().begin_handover(expected, grace, now);
     }
 
-    /// Removes all asks and grants of an entry daemon that has failed.
+    /// Removes all submissions and grants of an entry daemon that has failed.
     pub fn forget_entry(&self, vm: &VmId, incarnation: Incarnation) {
         let entry = Entry {
             incarnation,
@@ -219,7 +220,7 @@
         self.state.borrow().status(self.clock.now())
     }
 
-    /// Number of asks in the queue.
+    /// Number of submissions in the queue.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.state.borrow().queue.len()
@@ -241,10 +242,10 @@
     }
 }
 
-/// Cancels an ask if its call is dropped.
+/// Cancels a submission if its call is dropped.
 ///
-/// Without it, the ask of a caller that has disconnected would still be granted, and would occupy a
-/// slot for a request that nobody sends.
+/// Without it, the submission of a caller that has disconnected would still be granted, and would
+/// occupy a slot for a request that nobody sends.
 struct Guard<'a, C: Clock> {
     submission: SubmissionNumber,
     dispatcher: &'a Dispatcher<C>,
--- a/crates/lilaccrank/src/dispatch/admission.rs
+++ b/crates/lilaccrank/src/dispatch/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: decides an ask at once or puts it into the queue.
+//! Admission control: decides a submission at once or puts it into the queue.
 
 use std::time::Instant;
 
@@ -11,17 +11,17 @@
 use crate::error_kind::ErrorKind;
 use crate::prompt;
 
-/// Maximum number of exclusions kept per ask.
+/// Maximum number of exclusions kept per submission.
 const EXCLUSIONS_LIMIT: usize = 32;
 
-/// Result of submitting an ask.
+/// Result of a submission.
 pub(super) enum Admission {
     Decided(Verdict),
     Queued(WaiterId, oneshot::Receiver<Verdict>),
 }
 
 impl State {
-    /// Decides an ask at once if possible, and enqueues it otherwise.
+    /// Decides a submission at once if possible, and enqueues it otherwise.
     pub(super) fn submit(&mut self, mut submission: Submission, now: Instant) -> Admission {
         submission.exclusions.truncate(EXCLUSIONS_LIMIT);
         self.tiers
@@ -53,8 +53,8 @@
                 let request = submission.request.clone();
                 self.enqueue(submission, counter_key, now);
                 let admission = self.attach(&request);
-                // Dispatch before shedding: an ask that is granted at once takes no place in the
-                // queue.
+                // Dispatch before shedding: a submission that is granted at once takes no place in
+                // the queue.
                 self.dispatch(now);
                 self.shed(now);
                 admission
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Cancels the ask with this number and all earlier ones of the request, waiting or granted.
+    /// Cancels the submission with this number and all earlier ones of the request, waiting or
+    /// granted.
     pub(super) fn cancel(&mut self, request: &str, submission: SubmissionNumber, now: Instant) {
         if self
             .waiting
@@ -82,8 +83,8 @@
         self.dispatch(now);
     }
 
-    /// Cancels a waiting ask whose call was dropped before its verdict. A later call for the same
-    /// ask is not affected.
+    /// Cancels a waiting submission whose call was dropped before its verdict. A later call for the
+    /// same submission is not affected.
     pub(super) fn abandon(&mut self, request: &str, waiter: WaiterId, now: Instant) {
         let waiting = self.waiting.get(request);
         let current = waiting.and_then(|waiting| waiting.waiter.as_ref());
@@ -110,8 +111,8 @@
         Admission::Queued(id, rx)
     }
 
-    /// Ends the earlier ask of a request and returns its counter key, so that the new ask keeps its
-    /// place under the limits.
+    /// Ends the earlier submission of a request and returns its counter key, so that the new
+    /// submission keeps its place under the limits.
     fn supersede(&mut self, request: &str, now: Instant) -> Option<CounterKey> {
         let counter_key = match self.waiting.get_mut(request) {
             Some(waiting) => waiting.counter_key.take(),
@@ -144,9 +145,9 @@
         })
     }
 
-    /// Returns `true` if an ask with an objective would most likely time out in the queue, see
-    /// [`super::wait_outcomes`]. Asks of the first tier always wait, since they get every slot that
-    /// becomes free.
+    /// Returns `true` if a submission with an objective would most likely time out in the queue,
+    /// see [`super::wait_outcomes`]. Submissions of the first tier always wait, since they get
+    /// every slot that becomes free.
     fn is_tier_starved(&self, submission: &Submission, now: Instant) -> bool {
         if submission.objective.is_none()
             || submission.partial.is_some()
--- a/crates/lilaccrank/src/dispatch/affinity.rs
+++ b/crates/lilaccrank/src/dispatch/affinity.rs
@@ -1,10 +1,10 @@
 //! Cache affinity: which targets probably hold which prefixes in their caches.
 //!
-//! Own prompts count as cached without waiting for an event from the target; cache events arrive
-//! late and correct this. A missing event may be an eviction, so a gap in the sequence drops as
-//! many of the least recently used blocks as the lost batches may have evicted. Both errors cost a
-//! repeated prefill: a block that is wrongly assumed sends long prompts to a target without it, and
-//! one that is wrongly dropped sends them elsewhere.
+//! Prompts that this daemon has sent count as cached without waiting for an event from the target;
+//! cache events arrive late and correct this. A missing event may be an eviction, so a gap in the
+//! sequence drops as many of the least recently used blocks as the lost batches may have evicted.
+//! Both errors cost a repeated prefill: a block that is wrongly assumed sends long prompts to a
+//! target without it, and one that is wrongly dropped sends them elsewhere.
 
 use std::collections::BTreeMap;
 
--- a/crates/lilaccrank/src/dispatch/choice.rs
+++ b/crates/lilaccrank/src/dispatch/choice.rs
@@ -1,4 +1,4 @@
-//! Target selection: which targets are eligible for an ask, and which of them is best.
+//! Target selection: which targets are eligible for a submission, and which of them is best.
 
 use std::time::{Duration, Instant};
 
@@ -32,30 +32,30 @@
 const TIE_RATIO: f64 = 0.15;
 const TIE_MARGIN_S: f64 = 0.000_5;
 /// Maximum prefill backlog of a target, in time, for further work with an objective, indexed by the
-/// number of active tiers before its own. Asks in the queue go to the first target that becomes
-/// free, in tier order. Behind a target's backlog they do neither, and prefill also pauses all
-/// streams on the target.
+/// number of active tiers before its own. Submissions in the dispatcher's queue go to the first
+/// target that becomes free, in tier order. Those behind a target's backlog are bound to that
+/// target in order of arrival, and prefill also pauses all streams on the target.
 const PREFILL_BACKLOG_LIMITS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(90),
     Duration::from_millis(60),
 ];
-/// Prompts with more tokens than this are long. Trials of a hung target use shorter ones.
+/// Prompts with more tokens than this are long. Trials of an unresponsive target use shorter ones.
 pub const LONG_PROMPT_TOKENS: u64 = 2048;
-/// Fraction of the expected answer length that is assumed when an ask is checked against its
+/// Fraction of the expected answer length that is assumed when a submission is checked against its
 /// deadline.
 const OPTIMISTIC_LENGTH_RATIO: f64 = 0.5;
-/// Weight of the prefill of a non-urgent ask as a cost to the pool, since the asks behind it wait
-/// for it. Without this cost, copies of a prefix spread to all targets as soon as its holders are
-/// busy, and evict each other from the caches.
+/// Weight of the prefill of a non-urgent submission as a cost to the pool, since the submissions
+/// behind it wait for it. Without this cost, copies of a prefix spread to all targets as soon as
+/// its holders are busy, and evict each other from the caches.
 const SHARED_PREFILL_WEIGHT: f64 = 1.0;
-/// Fraction of the likely completion time that must remain until the deadline when an ask is
+/// Fraction of the likely completion time that must remain until the deadline when a submission is
 /// granted. With less time, most answers are cut off by the deadline and their prefill is wasted.
 const MIN_TIME_RATIO: f64 = 0.8;
 /// Number of tiers, starting at 0, that may use the headroom.
 const URGENT_TIERS: Tier = 1;
 
-/// Requirements of an ask on a target.
+/// Requirements of a submission on a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements<'a> {
     /// Data centre of the caller's daemon.
@@ -68,13 +68,13 @@
     pub exclusions: &'a [TargetInstance],
     /// Time until the caller expects the first token, if it has an objective.
     pub objective: Option<Duration>,
-    /// Lane of the ask in the queue.
+    /// Size class of the submission in the queue.
     pub size_class: SizeClass,
     /// Digests of the blocks of the prompt.
     pub prefix: &'a [u64],
-    /// Priority of the ask.
+    /// Priority of the submission.
     pub priority: Priority,
-    /// Tier of the ask.
+    /// Tier of the submission.
     pub tier: Tier,
     /// Slots reserved for the tiers before its own.
     pub reservation: Reservation,
@@ -92,10 +92,11 @@
     }
 }
 
-/// Target selected for an ask.
+/// Target selected for a submission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Completion time in seconds that is checked against the deadline when the ask is granted.
+    /// Completion time in seconds that is checked against the deadline when the submission is
+    /// granted.
     pub earliest_completion: f64,
     /// Prefill tokens that remain after the expected cache hits.
     pub prefill: u64,
@@ -103,8 +104,8 @@
     pub target: TargetInstance,
 }
 
-/// Occupancy of a pool at one moment. Only healthy targets count: the free slots of a hung target
-/// would otherwise count as headroom, and urgent work would find no free slot.
+/// Occupancy of a pool at one moment. Only healthy targets count: the free slots of an unresponsive
+/// target would otherwise count as headroom, and urgent work would find no free slot.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Occupancy {
     /// Healthy targets with an outstanding long prefill.
@@ -134,10 +135,10 @@
         })
     }
 
-    /// Returns `true` if the pool as a whole has capacity for this tier and lane. Non-urgent work
-    /// leaves some slots free, and keeps a quarter of the targets free of long prompts: prefill
-    /// can't be interrupted, and with a long prompt on every target a short urgent request would
-    /// wait for seconds.
+    /// Returns `true` if the pool as a whole has capacity for this tier and size class. Non-urgent
+    /// work leaves some slots free, and keeps a quarter of the targets free of long prompts:
+    /// prefill can't be interrupted, and with a long prompt on every target a short urgent request
+    /// would wait for seconds.
     #[must_use]
     pub fn admits(self, tier: Tier, size_class: SizeClass, prefill: u64) -> bool {
         if is_urgent(tier) {
@@ -154,9 +155,9 @@
     }
 }
 
-/// Returns `true` if a target may serve an ask of this tier. The prefill limits count outstanding
-/// work only, not the ask's own prompt: otherwise a long request could starve behind short ones
-/// that still fit.
+/// Returns `true` if a target may serve a submission of this tier. The prefill limits count
+/// outstanding work only, not the submission's own prompt: otherwise a long request could starve
+/// behind short ones that still fit.
 #[must_use]
 pub fn is_eligible(
     target: &Target,
@@ -221,7 +222,7 @@
     tier < URGENT_TIERS
 }
 
-/// Returns `true` if at least one target is eligible for an ask.
+/// Returns `true` if at least one target is eligible for a submission.
 #[must_use]
 pub fn any_eligible(
     targets: &IndexMap<TargetInstance, Target>,
@@ -299,8 +300,8 @@
     })
 }
 
-/// Optimistic completion time in seconds. An ask is refused if even this misses its deadline, so
-/// the answer is assumed to be shorter than average and the target to be idle.
+/// Optimistic completion time in seconds. A submission is refused if even this misses its deadline,
+/// so the answer is assumed to be shorter than average and the target to be idle.
 #[must_use]
 pub fn earliest_completion(
     target: &Target,
@@ -324,7 +325,8 @@
 }
 
 /// Expected completion time plus penalties, in seconds. Prefill is counted again for the share of
-/// the batch that it delays and, unless the ask is urgent, for the asks that wait behind it.
+/// the batch that it delays and, unless the submission is urgent, for the submissions that wait
+/// behind it.
 fn expected_cost(target: &Target, needs: &Requirements<'_>, saved: u64, now: Instant) -> f64 {
     let estimate = &target.estimate;
     let batch = estimate.batch(now).saturating_add(1);
--- a/crates/lilaccrank/src/dispatch/deadline.rs
+++ b/crates/lilaccrank/src/dispatch/deadline.rs
@@ -1,7 +1,7 @@
-//! Deadline feasibility of asks.
+//! Deadline feasibility of submissions.
 //!
-//! An ask that can't meet its deadline is refused before it costs any prefill. All estimates are
-//! optimistic: a request that is refused wrongly is lost, while one that is admitted wrongly is
+//! A submission that can't meet its deadline is refused before it costs any prefill. All estimates
+//! are optimistic: a request that is refused wrongly is lost, while one that is admitted wrongly is
 //! refused at its grant or at its deadline.
 
 use std::time::{Duration, Instant};
@@ -23,9 +23,9 @@
 }
 
 impl State {
-    /// Returns `true` if no target can meet the ask's deadline after the work ahead of it. Work of
-    /// lower tiers is ignored: it would be overtaken, and a refusal because of it would be a
-    /// priority inversion.
+    /// Returns `true` if no target can meet the submission's deadline after the work ahead of it.
+    /// Work of lower tiers is ignored: it would be overtaken, and a refusal because of it would be
+    /// a priority inversion.
     pub(super) fn is_infeasible(&mut self, submission: &Submission, now: Instant) -> bool {
         let Some(left) = submission.deadline else {
             return false;
@@ -36,7 +36,7 @@
         if !self.can_meet(&needs, left, now) {
             return true;
         }
-        // A resumed answer goes ahead of the waiting asks of its tier.
+        // A resumed answer goes ahead of the waiting submissions of its tier.
         if submission.partial.is_some() {
             return false;
         }
--- a/crates/lilaccrank/src/dispatch/delay.rs
+++ b/crates/lilaccrank/src/dispatch/delay.rs
@@ -1,10 +1,11 @@
-//! Delay scheduling: an ask waits a bounded time for a target that holds its prefix.
+//! Delay scheduling: a submission waits a bounded time for a target that holds its prefix.
 //!
-//! In a full pool, slots become free one at a time. If the first ask always took the free slot, it
-//! would hardly ever hit the cache: prompts would be prefilled again and evict each other. An ask
-//! whose holder is full therefore lets others pass, for a multiple of the prefill time that it
-//! saves. It waits in the same way for a prefix whose prefill is in progress. Urgent asks don't
-//! wait, nor do asks with many holders, one of which soon has a free slot.
+//! In a full pool, slots become free one at a time. If the first submission always took the free
+//! slot, it would hardly ever hit the cache: prompts would be prefilled again and evict each other.
+//! A submission whose holder is full therefore lets later ones go first, for a multiple of the
+//! prefill time that it saves. It waits in the same way for a prefix whose prefill is in progress.
+//! Urgent submissions don't wait, nor do submissions with many holders, one of which soon has a
+//! free slot.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +13,7 @@
 use super::health;
 use super::state::State;
 
-/// Maximum number of asks examined for one that needs no delay.
+/// Maximum number of submissions examined for one that needs no delay.
 pub(super) const DELAY_SCAN_LIMIT: usize = 8;
 /// Maximum delay as a multiple of the prefill time saved. In a burst, a holder is busy for longer
 /// than one prefill, and giving up early costs the whole pool another prefill.
@@ -20,7 +21,7 @@
 /// Savings below this number of tokens are not worth a delay.
 const MIN_SAVED_TOKENS: u64 = 256;
 
-/// Delay of one ask for a holder of its prefix.
+/// Delay of one submission for a holder of its prefix.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Delay {
     /// Capacity epoch of the last evaluation; no holder can become eligible within the same epoch.
@@ -35,7 +36,7 @@
         self.capacity_epoch += 1;
     }
 
-    /// Returns `true` if the ask still waits for a holder of its prefix.
+    /// Returns `true` if the submission still waits for a holder of its prefix.
     pub(super) fn is_delayed(&self, request: &str, occupancy: Occupancy, now: Instant) -> bool {
         let Some(waiting) = self.waiting.get(request) else {
             return false;
--- a/crates/lilaccrank/src/dispatch/estimate.rs
+++ b/crates/lilaccrank/src/dispatch/estimate.rs
@@ -212,7 +212,7 @@
         self.step_model.expected(batch, now)
     }
 
-    /// Time without output after which a target with this load counts as hung.
+    /// Time without output after which a target with this load counts as unresponsive.
     #[must_use]
     pub fn hang_timeout(&self, now: Instant) -> Duration {
         let prefill = self.outstanding().prefill as f64 / self.prefill_rate(now);
--- a/crates/lilaccrank/src/dispatch/fair.rs
+++ b/crates/lilaccrank/src/dispatch/fair.rs
@@ -13,16 +13,16 @@
 /// Number of idle customers kept before a cleanup.
 const IDLE_FLOW_LIMIT: usize = 4096;
 
-/// Position of a customer's first ask in the order of its priority; lower goes first.
+/// Position of a customer's first submission in the order of its priority; lower goes first.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Position {
     virtual_time: u64,
     sequence: u64,
-    /// Request of the ask.
+    /// Request of the submission.
     pub request: RequestId,
 }
 
-/// Waiting asks of one customer.
+/// Waiting submissions of one customer.
 #[derive(Debug, Default)]
 struct Flow {
     backlog: Work,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Waiting asks of one priority.
+/// Waiting submissions of one priority.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     weighted_backlogs: BTreeSet<(u64, CustomerId)>,
@@ -72,9 +72,9 @@
 }
 
 impl FairQueue {
-    /// Adds an ask. A customer without waiting asks starts at the queue's virtual time: idle time
-    /// earns no credit, since a customer could otherwise accumulate credit and then block the
-    /// others.
+    /// Adds a submission. A customer without waiting submissions starts at the queue's virtual
+    /// time: idle time earns no credit, since a customer could otherwise accumulate credit and then
+    /// block the others.
     pub fn push(&mut self, item: &Item, sequence: u64) {
         let virtual_time = self.virtual_time;
         let idle = self.flows.get(&item.customer).is_some_and(Flow::is_empty);
@@ -92,7 +92,7 @@
         self.total += item.work;
     }
 
-    /// Removes an ask.
+    /// Removes a submission.
     pub fn remove(&mut self, item: &Item, sequence: u64) {
         self.update(&item.customer, |flow| {
             flow.backlog -= item.work;
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Advances the virtual time of a customer whose ask is granted.
+    /// Advances the virtual time of a customer whose submission is granted.
     pub fn charge(&mut self, item: &Item) {
         let mut start = 0;
         self.update(&item.customer, |flow| {
@@ -116,19 +116,19 @@
         self.virtual_time = self.virtual_time.max(start);
     }
 
-    /// First ask of each customer in a lane, in order.
+    /// First submission of each customer in a size class, in order.
     pub fn heads(&self, size_class: SizeClass) -> impl Iterator<Item = &Position> + '_ {
         self.heads[size_class as usize].iter()
     }
 
-    /// Newest ask of the customer with the largest backlog per weight.
+    /// Newest submission of the customer with the largest backlog per weight.
     pub fn victim(&self) -> Option<&RequestId> {
         let (_, customer) = self.weighted_backlogs.last()?;
         self.flows[customer].newest()
     }
 
-    /// Work ahead of a new ask of `customer`: its own backlog, and for each other customer the
-    /// share that its weight allows meanwhile.
+    /// Work ahead of a new submission of `customer`: its own backlog, and for each other customer
+    /// the share that its weight allows meanwhile.
     pub fn work_ahead(&self, customer: &str, weight: u32) -> Work {
         let own = self.flows.get(customer);
         let own = own.map_or(Work::default(), |flow| flow.backlog);
@@ -144,17 +144,17 @@
         })
     }
 
-    /// Total work of all waiting asks.
+    /// Total work of all waiting submissions.
     pub fn total(&self) -> Work {
         self.total
     }
 
-    /// Number of waiting asks.
+    /// Number of waiting submissions.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns `true` if no ask waits.
+    /// Returns `true` if no submission waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -182,7 +182,7 @@
     }
 
     /// Removes idle customers whose virtual time isn't ahead of the queue's. Customers that are
-    /// ahead are kept, since they would otherwise return without their debt.
+    /// ahead are kept, since their virtual time would otherwise be reset when they return.
     fn prune_idle(&mut self) {
         if self.idle <= IDLE_FLOW_LIMIT {
             return;
--- a/crates/lilaccrank/src/dispatch/grants.rs
+++ b/crates/lilaccrank/src/dispatch/grants.rs
@@ -1,4 +1,4 @@
-//! Grants: which ask is next, and which target it gets.
+//! Grants: which submission is next, and which target it gets.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,8 @@
 
 /// EWMA weight of a new sample in the cache miss ratio.
 const CACHE_MISS_GAIN: f64 = 0.05;
-/// Maximum number of asks tried in a lane whose asks differ in the targets they may use.
+/// Maximum number of submissions tried in a size class whose submissions differ in the targets they
+/// may use.
 const RESTRICTED_SCAN_LIMIT: usize = 32;
 /// Time after which an unconfirmed grant expires, because the entry daemon has failed or never
 /// received it. A late entry daemon may still use the grant: the target then runs one request more
@@ -21,7 +22,7 @@
 const GRANT_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl State {
-    /// Grants asks in order until none has an eligible target.
+    /// Grants submissions in order until none has an eligible target.
     pub(super) fn dispatch(&mut self, now: Instant) {
         if self.handover.is_some() {
             return;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Marks targets with running requests as hung if they have been silent for too long.
+    /// Marks targets with running requests as unresponsive if they have been silent for too long.
     pub(super) fn check_health(&mut self, now: Instant) {
         self.note_capacity_change();
         for target in self.targets.values_mut() {
@@ -134,7 +135,7 @@
             .insert(submission.request.clone(), active_grant);
     }
 
-    /// Grants an ask, or refuses it if the best target can't meet its deadline.
+    /// Grants a submission, or refuses it if the best target can't meet its deadline.
     fn grant_or_refuse(&mut self, request: &RequestId, choice: Choice, now: Instant) {
         let deadline = self.waiting[request].deadline;
         let left = deadline.map(|deadline| deadline.saturating_duration_since(now));
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Returns the first ask in order that has an eligible target.
+    /// Returns the first submission in order that has an eligible target.
     fn next_request(&self, occupancy: Occupancy, now: Instant) -> Option<RequestId> {
         self.queue.priorities().find_map(|priority| {
             // Resumed answers go first: otherwise their completed prefill and generated tokens
@@ -176,8 +177,8 @@
         })
     }
 
-    /// Returns the first ask with an eligible target in a lane whose asks differ in the targets
-    /// they may use.
+    /// Returns the first submission with an eligible target in a size class whose submissions
+    /// differ in the targets they may use.
     fn next_eligible(
         &self,
         priority: Priority,
@@ -192,7 +193,8 @@
         heads.find(|position| self.is_eligible(&position.request, occupancy, now))
     }
 
-    /// Returns the first ask of a priority that has an eligible target and no partial answer.
+    /// Returns the first submission of a priority that has an eligible target and no partial
+    /// answer.
     fn next_unstarted(
         &self,
         priority: Priority,
--- a/crates/lilaccrank/src/dispatch/health.rs
+++ b/crates/lilaccrank/src/dispatch/health.rs
@@ -1,15 +1,15 @@
-//! Health of a target, and trials of one that is hung.
+//! Health of a target, and trials of one that is unresponsive.
 
 use std::time::{Duration, Instant};
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Initial backoff before a hung target is tried again.
+/// Initial backoff before an unresponsive target is tried again.
 const INITIAL_TRIAL_BACKOFF: Duration = Duration::from_secs(1);
-/// Maximum backoff before a hung target is tried again.
+/// Maximum backoff before an unresponsive target is tried again.
 const MAX_TRIAL_BACKOFF: Duration = Duration::from_secs(30);
-/// Number of consecutive failures after which a target counts as hung.
+/// Number of consecutive failures after which a target counts as unresponsive.
 const FAILURE_THRESHOLD: u32 = 3;
 /// EWMA weight of a new answer in the error rate.
 const ERROR_RATE_GAIN: f64 = 0.15;
@@ -24,7 +24,7 @@
     #[display("hung")]
     #[serde(rename = "hung")]
     Unresponsive,
-    /// Hung, with one short trial request in progress.
+    /// Unresponsive, with one short trial request in progress.
     #[display("trial")]
     #[serde(rename = "trial")]
     HalfOpen,
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Marks the target as hung if it has been silent for longer than `timeout`. Called for targets
-    /// with running requests only.
+    /// Marks the target as unresponsive if it has been silent for longer than `timeout`. Called for
+    /// targets with running requests only.
     pub fn check_silence(&mut self, timeout: Duration, now: Instant) {
         let silence = now.saturating_duration_since(self.last_activity);
         if self.state != State::Unresponsive && silence > timeout {
--- a/crates/lilaccrank/src/dispatch/message.rs
+++ b/crates/lilaccrank/src/dispatch/message.rs
@@ -10,13 +10,13 @@
 use crate::ids::{CustomerId, Incarnation, Rank, RequestId, RuleId, Tier, VmId};
 use crate::target_instance::TargetInstance;
 
-/// Sequence number of the asks for one request; a grant of an earlier ask is void.
+/// Sequence number of the submissions for one request; a grant of an earlier submission is void.
 pub type SubmissionNumber = u64;
 
-/// Ask for a slot on a target on behalf of one request.
+/// Request of an entry daemon for a slot on a target, on behalf of one caller's request.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Submission {
-    /// Number of this ask.
+    /// Number of this submission.
     #[serde(rename = "ask")]
     pub submission: SubmissionNumber,
     /// Part of the answer that the caller already has.
@@ -61,13 +61,13 @@
 pub struct PartialAnswer {
     /// Expected time until the current target finishes the answer; `None` if that target has
     /// stopped. While a target is still generating, only a clearly faster one is useful, and the
-    /// ask may wait for it.
+    /// submission may wait for it.
     pub remaining: Option<Duration>,
     /// Number of tokens that the caller has.
     pub tokens: u32,
 }
 
-/// Answer to an [`Submission`].
+/// Answer to a [`Submission`].
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Verdict {
     /// The request may be sent once to the granted target.
@@ -79,10 +79,12 @@
 /// Permission to send one request to one target.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Grant {
-    /// Number of the answered ask; the grant is void if the entry daemon has asked again since.
+    /// Number of the answered submission; the grant is void if the entry daemon has submitted the
+    /// request again since.
     #[serde(rename = "ask")]
     pub submission: SubmissionNumber,
-    /// VM of the dispatcher; the grant is void if another dispatcher was asked since.
+    /// VM of the dispatcher; the grant is void if the request was submitted to another dispatcher
+    /// since.
     pub dispatcher: VmId,
     /// Incarnation of the dispatcher.
     pub dispatcher_incarnation: Incarnation,
@@ -95,10 +97,10 @@
     pub target: TargetInstance,
 }
 
-/// Refusal of one ask; the request was not run for it.
+/// Refusal of one submission; the request was not run for it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Refuse {
-    /// Number of the refused ask.
+    /// Number of the refused submission.
     #[serde(rename = "ask")]
     pub submission: SubmissionNumber,
     /// Reason of the refusal.
@@ -112,7 +114,7 @@
     pub unmeetable: Option<Unmeetable>,
 }
 
-/// Why an ask can't be met in time.
+/// Why a submission can't be met in time.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, PartialEq, Serialize)]
 pub enum Unmeetable {
     /// No target can meet the deadline after the work ahead.
@@ -122,7 +124,7 @@
     /// The best eligible target can't meet the deadline.
     #[display("the best free target can't end it in the time that is left")]
     TooSlow,
-    /// The ask waited until its answer could no longer start in time.
+    /// The submission waited until its answer could no longer start in time.
     #[serde(rename = "Waited")]
     #[display("no target came free in time")]
     TimedOut,
@@ -135,7 +137,7 @@
 /// Report of an entry daemon on a granted request.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Report {
-    /// Number of the granted ask.
+    /// Number of the granted submission.
     #[serde(rename = "ask")]
     pub submission: SubmissionNumber,
     /// The reported event.
@@ -190,10 +192,10 @@
     Unused,
 }
 
-/// Cancels an ask, waiting or granted.
+/// Cancels a submission, waiting or granted.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Cancel {
-    /// Number of the last ask to cancel; earlier ones are cancelled too.
+    /// Number of the last submission to cancel; earlier ones are cancelled too.
     #[serde(rename = "ask")]
     pub submission: SubmissionNumber,
     /// Id of the request.
@@ -212,7 +214,7 @@
 /// Running request, as reported by its entry daemon to a new dispatcher.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Running {
-    /// The granted ask, with the length of the request.
+    /// The granted submission, with the length of the request.
     #[serde(rename = "ask")]
     pub submission: Submission,
     /// Number of tokens generated so far; `None` before the first.
@@ -228,7 +230,7 @@
     pub entry: Entry,
     /// Running requests.
     pub running: Vec<Running>,
-    /// Waiting asks.
+    /// Waiting submissions.
     pub waiting: Vec<Submission>,
 }
 
--- a/crates/lilaccrank/src/dispatch/overload.rs
+++ b/crates/lilaccrank/src/dispatch/overload.rs
@@ -1,4 +1,4 @@
-//! Overload: expiry and load shedding of waiting asks.
+//! Overload: expiry and load shedding of waiting submissions.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
 use crate::ids::RequestId;
 
 impl State {
-    /// Refuses the asks that have waited too long.
+    /// Refuses the submissions that have waited too long.
     pub(super) fn expire_waiting(&mut self, now: Instant) {
         while let Some(request) = self.queue.expired(now).cloned() {
             let retry = self.retry_after(&request, now);
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Refuses all waiting asks.
+    /// Refuses all waiting submissions.
     pub(super) fn refuse_all(&mut self, kind: ErrorKind, now: Instant) {
         let requests: Vec<RequestId> = self.queue.requests().cloned().collect();
         for request in requests {
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Sheds asks, lowest tier first, until the queue is within its limit. During a handover, entry
-    /// daemons that have not resynced may still bring lower tiers; only the configuration's lowest
-    /// tier is shed then, unless the queue exceeds twice its limit.
+    /// Sheds submissions, lowest tier first, until the queue is within its limit. During a
+    /// handover, entry daemons that have not resynced may still bring lower tiers; only the
+    /// configuration's lowest tier is shed then, unless the queue exceeds twice its limit.
     pub(super) fn shed(&mut self, now: Instant) {
         while self.queue.len() > self.cfg.waiting_limit {
             let Some(victim) = self.queue.victim() else {
--- a/crates/lilaccrank/src/dispatch/queue.rs
+++ b/crates/lilaccrank/src/dispatch/queue.rs
@@ -15,7 +15,7 @@
 use super::work::Work;
 use crate::ids::{CustomerId, Rank, RequestId, Tier};
 
-/// Kinds of asks that need different targets, so that one kind doesn't block another.
+/// Classes of submissions that need different targets, so that one class doesn't block another.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum SizeClass {
     /// Resumes an answer on another target.
@@ -24,16 +24,16 @@
     Excluding,
     /// Has a long prompt.
     Long,
-    /// All other asks.
+    /// All other submissions.
     Short,
 }
 
 impl SizeClass {
-    /// All lanes.
+    /// All size classes.
     pub const ALL: [Self; 4] = [Self::Resumed, Self::Excluding, Self::Long, Self::Short];
 }
 
-/// Order of the waiting asks by rank, then tier; lower goes first.
+/// Order of the waiting submissions by rank, then tier; lower goes first.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Priority {
     /// Rank of the customer.
@@ -42,18 +42,18 @@
     pub tier: Tier,
 }
 
-/// Queue entry of a waiting ask.
+/// Queue entry of a waiting submission.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item {
     /// Customer that the request belongs to.
     pub customer: CustomerId,
-    /// Lane that the ask waits in.
+    /// Size class that the submission waits in.
     pub size_class: SizeClass,
     /// Id of the request.
     pub request: RequestId,
-    /// Priority of the ask.
+    /// Priority of the submission.
     pub priority: Priority,
-    /// Time at which the ask expires.
+    /// Time at which the submission expires.
     pub until: Option<Instant>,
     /// Weight of the customer.
     pub weight: u32,
@@ -61,7 +61,7 @@
     pub work: Work,
 }
 
-/// Waiting asks in order of dispatch.
+/// Waiting submissions in order of dispatch.
 #[derive(Debug, Default)]
 pub struct Queue {
     expiries: BTreeSet<(Instant, RequestId)>,
@@ -72,8 +72,8 @@
 }
 
 impl Queue {
-    /// Adds an ask after the others of its customer, and replaces an earlier ask of the same
-    /// request.
+    /// Adds a submission after the others of its customer, and replaces an earlier submission of
+    /// the same request.
     pub fn push(&mut self, item: Item) {
         self.remove(&item.request);
         let sequence = self.next_sequence;
@@ -89,12 +89,12 @@
         self.items.insert(item.request.clone(), item);
     }
 
-    /// Removes a granted ask and charges its customer.
+    /// Removes a granted submission and charges its customer.
     pub fn grant(&mut self, request: &str) -> Option<Item> {
         self.take(request, FairQueue::charge)
     }
 
-    /// Removes an ask without charging its customer.
+    /// Removes a submission without charging its customer.
     pub fn remove(&mut self, request: &str) -> Option<Item> {
         self.take(request, |_, _| ())
     }
@@ -111,7 +111,7 @@
         Some(item)
     }
 
-    /// Priorities with waiting asks, in order.
+    /// Priorities with waiting submissions, in order.
     pub fn priorities(&self) -> impl Iterator<Item = Priority> + '_ {
         let nonempty = self
             .priorities
@@ -120,8 +120,9 @@
         nonempty.map(|(priority, _)| *priority)
     }
 
-    /// First priority with an ask that would use any free slot. Resumed answers are ignored: they
-    /// use only targets that finish them in time, so a slot held for them would mostly stay unused.
+    /// First priority with a submission that would use any free slot. Resumed answers are ignored:
+    /// they use only targets that finish them in time, so a slot held for them would mostly stay
+    /// unused.
     #[must_use]
     pub fn first_competing_priority(&self) -> Option<Priority> {
         let size_classes = [SizeClass::Excluding, SizeClass::Long, SizeClass::Short];
@@ -132,7 +133,7 @@
         self.priorities().find(has_competing_submission)
     }
 
-    /// First ask of each customer in one lane, in fair order.
+    /// First submission of each customer in one size class, in fair order.
     pub fn heads(
         &self,
         priority: Priority,
@@ -144,25 +145,25 @@
             .flat_map(move |queue| queue.heads(size_class))
     }
 
-    /// The ask to shed next: the newest one of the customer with the largest backlog per weight, in
-    /// the last priority with waiting asks. A burst of one customer therefore displaces only its
-    /// own asks.
+    /// The submission to shed next: the newest one of the customer with the largest backlog per
+    /// weight, in the last priority with waiting submissions. A burst of one customer therefore
+    /// displaces only its own submissions.
     #[must_use]
     pub fn victim(&self) -> Option<&Item> {
         let request = self.priorities.values().rev().find_map(FairQueue::victim)?;
         self.items.get(request)
     }
 
-    /// Returns an ask that has expired at `now`. An ask without any waiting time expires only after
-    /// the moment of its arrival, so that it can still be granted at once.
+    /// Returns a submission that has expired at `now`. A submission without any waiting time
+    /// expires only after the moment of its arrival, so that it can still be granted at once.
     #[must_use]
     pub fn expired(&self, now: Instant) -> Option<&RequestId> {
         let (until, request) = self.expiries.first()?;
         (*until < now).then_some(request)
     }
 
-    /// Work ahead of a new ask of this customer: all work of the priorities before its own, and the
-    /// fair share of each customer in its own.
+    /// Work ahead of a new submission of this customer: all work of the priorities before its own,
+    /// and the fair share of each customer in its own.
     #[must_use]
     pub fn work_ahead(&self, priority: Priority, customer: &str, weight: u32) -> Work {
         let before = self.priorities.range(..priority);
@@ -180,25 +181,25 @@
         works.fold(Work::default(), |sum, work| sum + work)
     }
 
-    /// Looks up an ask by its request.
+    /// Looks up a submission by its request.
     #[must_use]
     pub fn get(&self, request: &str) -> Option<&Item> {
         self.items.get(request)
     }
 
-    /// Number of waiting asks.
+    /// Number of waiting submissions.
     #[must_use]
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Returns `true` if no ask waits.
+    /// Returns `true` if no submission waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// Number of waiting asks of a tier.
+    /// Number of waiting submissions of a tier.
     #[must_use]
     pub fn waiting(&self, tier: Tier) -> usize {
         let queues = self.priorities.iter();
@@ -206,7 +207,7 @@
         of_tier.map(|(_, queue)| queue.len()).sum()
     }
 
-    /// All waiting asks, in no particular order.
+    /// All waiting submissions, in no particular order.
     pub fn requests(&self) -> impl Iterator<Item = &RequestId> + '_ {
         self.items.keys()
     }
--- a/crates/lilaccrank/src/dispatch/queue_deadline.rs
+++ b/crates/lilaccrank/src/dispatch/queue_deadline.rs
@@ -1,11 +1,11 @@
-//! Maximum queueing time of an ask with an objective.
+//! Maximum queueing time of a submission with an objective.
 //!
-//! An ask waits only while a target that becomes free could still return the first token in time. A
-//! late refusal costs the caller time in which it could have gone elsewhere, or retried while the
-//! answer was still useful. Asks of the first tier wait longer, for a fraction of the time to their
-//! deadline, since even a late answer is worth more than work of a later tier. In any other tier,
-//! late work would take the slots of work that can still be in time: in order of arrival, an
-//! overloaded tier would be late throughout.
+//! A submission waits only while a target that becomes free could still return the first token in
+//! time. A late refusal costs the caller time in which it could have gone elsewhere, or retried
+//! while the answer was still useful. Submissions of the first tier wait longer, for a fraction of
+//! the time to their deadline, since even a late answer is worth more than work of a later tier. In
+//! any other tier, late work would take the slots of work that can still be in time: in order of
+//! arrival, an overloaded tier would be late throughout.
 
 use std::time::{Duration, Instant};
 
@@ -17,13 +17,13 @@
 const OBJECTIVE_MARGIN: f64 = 0.1;
 /// Number of tiers, starting at 0, whose late answers go before timely ones of other tiers.
 const LATE_TIERS: Tier = 1;
-/// Fraction of the time to its deadline that such an ask waits; the rest is left for the answer
-/// itself.
+/// Fraction of the time to its deadline that such a submission waits; the rest is left for the
+/// answer itself.
 const LATE_WAIT_RATIO: f64 = 0.3;
 
 impl State {
-    /// Returns the time at which the ask stops waiting, or `None` if it has no objective or another
-    /// target still generates its answer.
+    /// Returns the time at which the submission stops waiting, or `None` if it has no objective or
+    /// another target still generates its answer.
     pub(super) fn queue_deadline(&self, submission: &Submission, now: Instant) -> Option<Instant> {
         if submission
             .partial
--- a/crates/lilaccrank/src/dispatch/recovery.rs
+++ b/crates/lilaccrank/src/dispatch/recovery.rs
@@ -107,9 +107,9 @@
         }
     }
 
-    /// Removes requests that the entry daemon no longer has. An ask with a waiting call, or an
-    /// unconfirmed grant, may be newer than the resync and is kept; it ends with the call or when
-    /// the grant expires.
+    /// Removes requests that the entry daemon no longer has. A submission with a waiting call, or
+    /// an unconfirmed grant, may be newer than the resync and is kept; it ends with the call or
+    /// when the grant expires.
     fn drop_unreported(&mut self, entry: &Entry, reported: &IndexSet<RequestId>, now: Instant) {
         let waiting = self.waiting.values().filter(|waiting| {
             waiting.waiter.is_none()
--- a/crates/lilaccrank/src/dispatch/reports.rs
+++ b/crates/lilaccrank/src/dispatch/reports.rs
@@ -18,7 +18,7 @@
 const MIN_LENGTH_RATIO: f64 = 0.01;
 
 impl State {
-    /// Applies a report of an entry daemon; a report on an earlier ask is ignored.
+    /// Applies a report of an entry daemon; a report on an earlier submission is ignored.
     pub(super) fn report(&mut self, report: &Report, now: Instant) {
         let active_grant = self.active_grants.get_mut(&report.request);
         let Some(active_grant) =
--- a/crates/lilaccrank/src/dispatch/sharing.rs
+++ b/crates/lilaccrank/src/dispatch/sharing.rs
@@ -2,7 +2,8 @@
 //!
 //! A digest contains recent changes, and every quarter of a second the sender's complete load, so
 //! that a lost digest costs only a short delay. Samples of target speed and health are sent once;
-//! with them, every daemon knows a target as well as if it had sent all requests itself.
+//! with them, every daemon's estimates of a target are as good as if it had sent all requests
+//! itself.
 
 use std::time::{Duration, Instant};
 
@@ -30,12 +31,12 @@
 /// are lost once in 64,000 times; the next complete digest makes up for that.
 const CHANGE_REPEATS: u8 = 3;
 /// Maximum duration in a peer's sample, enough for a prompt that takes an hour. A longer one must
-/// be invalid, and would exclude a healthy target for good.
+/// be invalid, and would exclude a healthy target permanently.
 const MAX_SAMPLE_DURATION: Duration = Duration::from_secs(3_600);
 /// Maximum number of samples per digest; more would hardly improve the estimates.
 const SAMPLES_LIMIT: usize = 64;
 /// Number of free slots up to which a change on a target is sent at once. With more free slots, two
-/// daemons with outdated digests may choose the same target without a wait on it.
+/// daemons with outdated digests may choose the same target and both find a slot.
 const LOW_FREE_SLOTS: u32 = 2;
 /// Prefill backlog above which a change on a target is sent at once, in seconds: half of the
 /// backlog limit of the last tier.
@@ -44,13 +45,13 @@
 /// Load of one daemon on the targets of a pool.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Digest {
-    /// Its load by target.
+    /// Load of the daemon by target.
     pub loads: Vec<TargetLoad>,
-    /// Samples since its last digest.
+    /// Samples since the last digest.
     pub samples: Vec<Sample>,
     /// Cumulative number of requests sent to each target with a rate limit.
     pub sent: Vec<(InstanceDigest, u32)>,
-    /// Priority of the first waiting ask that would use any free slot.
+    /// Priority of the first waiting submission that would use any free slot.
     pub waiting: Option<Priority>,
     /// If set, targets that are left out have no load; otherwise their load is unchanged.
     pub whole: bool,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// First waiting ask of the other daemons that competes with `me` for a target.
+    /// First waiting submission of the other daemons that competes with `me` for a target.
     fn peer_waiter(&self, me: &VmId, target: &TargetId) -> Option<PeerWaiter> {
         let waiting = self.peers.iter();
         let waiting = waiting.filter_map(|(vm, peer)| Some((peer.waiting?, vm)));
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -37,7 +37,7 @@
 /// Initial value of the average fraction of `max_tokens` that answers use.
 const INITIAL_LENGTH_RATIO: f64 = 0.5;
 
-/// Identifies one waiting call, so that a call that ends late doesn't cancel the ask of its
+/// Identifies one waiting call, so that a call that ends late doesn't cancel the submission of its
 /// successor.
 pub(super) type WaiterId = u64;
 
@@ -48,7 +48,7 @@
     pub(super) tx: oneshot::Sender<Verdict>,
 }
 
-/// Ask in the queue.
+/// Submission in the queue.
 #[derive(Debug)]
 pub(super) struct Waiting {
     pub(super) submission: Submission,
@@ -59,7 +59,7 @@
     pub(super) waiter: Option<Waiter>,
 }
 
-/// Why an ask is refused.
+/// Why a submission is refused.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RefusalReason {
     kind: ErrorKind,
@@ -106,7 +106,7 @@
     pub(super) inflight: Vec<u64>,
     pub(super) target: TargetInstance,
     pub(super) tokens: u64,
-    /// Set if the request is a trial of a hung target.
+    /// Set if the request is a trial of an unresponsive target.
     pub(super) trial: bool,
 }
 
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Adds an ask to the queue.
+    /// Adds a submission to the queue.
     pub(super) fn enqueue(
         &mut self,
         submission: Submission,
@@ -200,7 +200,7 @@
             .insert(waiting.submission.request.clone(), waiting);
     }
 
-    /// Removes a waiting ask and refuses it.
+    /// Removes a waiting submission and refuses it.
     pub(super) fn refuse(
         &mut self,
         request: &str,
@@ -224,13 +224,13 @@
         }
     }
 
-    /// Requirements of a waiting ask.
+    /// Requirements of a waiting submission.
     pub(super) fn needs_of<'a>(&'a self, waiting: &'a Waiting, now: Instant) -> Requirements<'a> {
         let left = |until: Instant| until.saturating_duration_since(now);
         self.needs(&waiting.submission, waiting.deadline.map(left))
     }
 
-    /// Requirements of an ask with this time left until its deadline.
+    /// Requirements of a submission with this time left until its deadline.
     pub(super) fn needs<'a>(
         &'a self,
         submission: &'a Submission,
@@ -266,14 +266,14 @@
         }
     }
 
-    /// Records whether an ask was granted. Resumed answers are not counted again.
+    /// Records whether a submission was granted. Resumed answers are not counted again.
     pub(super) fn record_outcome(&mut self, submission: &Submission, served: bool) {
         if submission.partial.is_none() {
             self.tiers.record_outcome(submission.tier, served);
         }
     }
 
-    /// Expected number of tokens that a target generates for the ask.
+    /// Expected number of tokens that a target generates for the submission.
     fn expected_decode(&self, submission: &Submission) -> u64 {
         let typical = f64::from(submission.max_tokens) * self.length_ratio;
         match submission.partial {
@@ -329,8 +329,8 @@
     left.into_iter().chain(migration_limit).min()
 }
 
-/// Length of an ask in tokens; a request to a plain service counts as one token. A partial answer
-/// is prefilled like the prompt.
+/// Length of a submission in tokens; a request to a plain service counts as one token. A partial
+/// answer is prefilled like the prompt.
 pub(super) fn work(submission: &Submission) -> Work {
     let partial = submission.partial.map_or(0, |partial| partial.tokens);
     Work {
--- a/crates/lilaccrank/src/dispatch/status.rs
+++ b/crates/lilaccrank/src/dispatch/status.rs
@@ -20,16 +20,16 @@
     pub running: usize,
     /// Targets of the pool.
     pub targets: Vec<TargetStatus>,
-    /// Waiting asks by tier; tiers without any are left out.
+    /// Waiting submissions by tier; tiers without any are left out.
     pub waiting: Vec<TierStatus>,
 }
 
-/// Waiting asks of one tier.
+/// Waiting submissions of one tier.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TierStatus {
     /// The tier.
     pub tier: Tier,
-    /// Number of waiting asks.
+    /// Number of waiting submissions.
     pub waiting: usize,
 }
 
--- a/crates/lilaccrank/src/dispatch/target.rs
+++ b/crates/lilaccrank/src/dispatch/target.rs
@@ -9,25 +9,26 @@
 use crate::ids::DataCentre;
 use crate::target_instance::{InstanceDigest, TargetInstance};
 
-/// Time for which a slot freed by another daemon is left to the daemon whose ask goes first.
+/// Time for which a slot freed by another daemon is left to the daemon whose submission goes first.
 ///
 /// All daemons of a cell learn of a free slot at the same time. If each of them used it, most of
-/// these asks would wait in the target's own queue, which ignores tiers: in a burst, a third of the
-/// grants went to targets that were already full. The grant of the first daemon is announced within
-/// 25 ms; if that daemon doesn't use the slot, it stays free for the rest of this time.
+/// these submissions would wait in the target's own queue, which ignores tiers: in a burst, a third
+/// of the grants went to targets that were already full. The grant of the first daemon is announced
+/// within 25 ms; if that daemon doesn't use the slot, it stays free for the rest of this time.
 const FREED_SLOT_HOLD: Duration = Duration::from_millis(40);
 
-/// First waiting ask of the other daemons.
+/// First waiting submission of the other daemons.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PeerWaiter {
-    /// Set if it goes before asks of this daemon with the same priority, by a draw per target.
+    /// Set if it goes before submissions of this daemon with the same priority, decided by a
+    /// rendezvous hash per target.
     pub wins_ties: bool,
-    /// Priority of the ask.
+    /// Priority of the submission.
     pub priority: Priority,
 }
 
 impl PeerWaiter {
-    /// Returns `true` if it goes before an ask of this daemon with this priority.
+    /// Returns `true` if it goes before a submission of this daemon with this priority.
     fn precedes(self, priority: Priority) -> bool {
         self.priority < priority || (self.priority == priority && self.wins_ties)
     }
@@ -50,11 +51,12 @@
     pub live: bool,
     /// Number of its requests with a long prompt and no first token yet.
     pub long_prefills: u32,
-    /// When another daemon last freed capacity, and the first ask waiting elsewhere at that time.
+    /// When another daemon last freed capacity, and the first submission waiting elsewhere at that
+    /// time.
     pub(super) freed_by_peer: Option<(Instant, PeerWaiter)>,
     /// The cell's share of the rate limit that the target advertises.
     pub rate_limit: Option<RateLimit>,
-    /// First waiting ask of the other daemons of the cell.
+    /// First waiting submission of the other daemons of the cell.
     pub peer_waiter: Option<PeerWaiter>,
     /// Cumulative number of requests that this daemon has sent to it.
     pub sent: u32,
@@ -114,7 +116,7 @@
     }
 
     /// Returns `true` if the rate limit allows a request in addition to those reserved for earlier
-    /// tiers and for a waiting ask of another daemon that goes first.
+    /// tiers and for a waiting submission of another daemon that goes first.
     #[must_use]
     pub fn is_within_rate_limit(
         &self,
@@ -142,8 +144,8 @@
         self.freed_by_peer = peer_waiter.map(|peer_waiter| (now, peer_waiter));
     }
 
-    /// Returns `true` if capacity that another daemon has just freed is left to an ask waiting
-    /// elsewhere.
+    /// Returns `true` if capacity that another daemon has just freed is left to a submission
+    /// waiting elsewhere.
     #[must_use]
     pub fn is_held_for_peer(&self, priority: Priority, now: Instant) -> bool {
         self.freed_by_peer.is_some_and(|(at, peer_waiter)| {
--- a/crates/lilaccrank/src/dispatch/wait_outcomes.rs
+++ b/crates/lilaccrank/src/dispatch/wait_outcomes.rs
@@ -1,9 +1,9 @@
 //! Outcomes of recent waits by tier, which predict whether a new wait is worthwhile.
 //!
-//! In heavy overload, nearly every ask of a later tier waits as long as its first token could be in
-//! time and is then refused. Its caller has lost that time and retries with too little left. Once
-//! most waits of a tier time out, its new asks are refused at once. One ask keeps waiting; its
-//! grant shows that capacity is available again.
+//! In heavy overload, nearly every submission of a later tier waits as long as its first token
+//! could be in time and is then refused. Its caller has lost that time and retries with too little
+//! left. Once most waits of a tier time out, its new submissions are refused at once. One
+//! submission keeps waiting; its grant shows that capacity is available again.
 
 use std::time::{Duration, Instant};
 
--- a/crates/lilaccrank/tests/suite/dispatch_faults.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_faults.rs
@@ -1,4 +1,5 @@
-//! Failures at the dispatcher: superseded asks, lost messages, hung and slow targets, handover.
+//! Failures at the dispatcher: superseded submissions, lost messages, unresponsive and slow
+//! targets, handover.
 
 use std::time::Duration;
 
@@ -15,8 +16,8 @@
 };
 use crate::dispatch_harness::{Harness, LOWEST_TIER};
 
-// Guards against a request that holds two slots or is sent twice: an entry that lost the answer asks
-// again with a new number, and a grant for the first ask comes late.
+// Guards against a request that holds two slots or is sent twice: an entry that lost the answer
+// submits the request again with a new number, and a grant for the first submission comes late.
 #[test]
 fn later_submission_supersedes_the_earlier_one() {
     let mut harness = harness(&[1]);
@@ -39,7 +40,7 @@
     assert_eq!(
         harness.dispatcher.status().running,
         1,
-        "a report for ask 1 is ignored"
+        "a report for submission 1 is ignored"
     );
     harness.submit(submission("again", 0));
     assert_eq!(harness.refusals(), refused("again", ErrorKind::Cancelled));
@@ -59,7 +60,8 @@
 }
 
 // Guards against a request that waits forever: its entry lost the answer and repeats the call with
-// the same number, then the first call is dropped, which must not cancel the ask of the second.
+// the same number, then the first call is dropped, which must not cancel the submission of the
+// second.
 #[test]
 fn dropping_a_replaced_call_keeps_its_submission() {
     let mut harness = harness(&[1]);
@@ -74,8 +76,8 @@
     assert!(matches!(second.now_or_never(), Some(Verdict::Grant(_))));
 }
 
-// Guards against slots held for callers that have disconnected. The call is dropped while the ask
-// waits, or just as it is granted.
+// Guards against slots held for callers that have disconnected. The call is dropped while the
+// submission waits, or just as it is granted.
 #[test]
 fn dropping_a_call_cancels_its_submission() {
     let mut harness = harness(&[1]);
@@ -157,8 +159,8 @@
     );
 }
 
-// Guards against trials at a target that stays hung: without a growing pause, one request a second
-// would be lost.
+// Guards against trials at a target that stays unresponsive: without a growing pause, one request a
+// second would be lost.
 #[test]
 fn trial_is_one_cheap_request() {
     let mut harness = harness(&[8]);
@@ -175,7 +177,7 @@
     assert_eq!(
         harness.grants(),
         [],
-        "hung again, the next trial comes later"
+        "unresponsive again, the next trial comes later"
     );
     harness.advance(Duration::from_secs(2));
     assert_eq!(harness.grants(), granted("trial1", "t0"));
@@ -266,8 +268,8 @@
     assert_eq!(harness.grants(), granted("r", "t0"));
 }
 
-// Guards against running a request twice: it was granted by the previous dispatcher, and its ask is in
-// the queue of the new one. Once resynced as running, it is not granted again.
+// Guards against running a request twice: it was granted by the previous dispatcher, and its
+// submission is in the queue of the new one. Once resynced as running, it is not granted again.
 #[test]
 fn running_request_is_not_granted_again() {
     let mut harness = harness(&[1]);
--- a/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_fixtures.rs
@@ -1,4 +1,4 @@
-//! Asks, digests and expected results that the tests of the dispatcher share.
+//! Submissions, digests and expected results that the tests of the dispatcher share.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     per_customer: false,
     rate_per_s: None,
 };
-/// Shortest silence after which a target counts as hung.
+/// Shortest silence after which a target counts as unresponsive.
 pub const MIN_HANG_TIMEOUT: Duration = Duration::from_secs(2);
 /// Report of a first token after 250 ms.
 pub const FIRST_TOKEN: ReportKind = ReportKind::FirstToken {
@@ -30,12 +30,12 @@
     Harness::new(slots, WAITING_LIMIT, MIN_HANG_TIMEOUT)
 }
 
-/// Returns an ask with a short prompt.
+/// Returns a submission with a short prompt.
 pub fn submission(request: &str, tier: u8) -> Submission {
     dispatch_harness::submission(request, tier)
 }
 
-/// Returns an ask with a prompt of 10 000 tokens.
+/// Returns a submission with a prompt of 10 000 tokens.
 pub fn submission_with_long_prompt(request: &str, tier: u8) -> Submission {
     let prompt_tokens = 10_000;
     Submission {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Sets the deadline of an ask, in seconds from now.
+/// Sets the deadline of a submission, in seconds from now.
 pub fn with_deadline(secs: u64, submission: Submission) -> Submission {
     let deadline = Some(Duration::from_secs(secs));
     Submission {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns an ask of the most urgent tier that counts against a limit.
+/// Returns a submission of the most urgent tier that counts against a limit.
 pub fn submission_with_limit(request: &str, limit: Limit) -> Submission {
     let limit = Some(limit);
     Submission {
@@ -118,7 +118,7 @@
     harness.dispatcher.apply_digest(&from.to_owned(), digest);
 }
 
-/// Returns an ask with a first-token objective of 1 s and a deadline of 10 s.
+/// Returns a submission with a first-token objective of 1 s and a deadline of 10 s.
 pub fn submission_with_objective(request: &str, tier: u8) -> Submission {
     Submission {
         deadline: Some(Duration::from_secs(10)),
--- a/crates/lilaccrank/tests/suite/dispatch_harness.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_harness.rs
@@ -138,7 +138,7 @@
         refusals.collect()
     }
 
-    /// Reports an event at a target for the first ask of a request.
+    /// Reports an event at a target for the first submission of a request.
     pub fn report(&mut self, request: &str, target: &str, kind: ReportKind) {
         self.dispatcher.report(&Report {
             submission: 1,
@@ -173,7 +173,7 @@
     }
 }
 
-/// Returns an ask for a request with a short prompt.
+/// Returns a submission for a request with a short prompt.
 pub fn submission(request: &str, tier: u8) -> Submission {
     Submission {
         submission: 1,
--- a/crates/lilaccrank/tests/suite/dispatch_inputs.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_inputs.rs
@@ -60,7 +60,7 @@
     }
 }
 
-/// An ask with arbitrary lengths and times.
+/// A submission with arbitrary lengths and times.
 #[derive(Clone, Debug)]
 struct ArbitrarySubmission(Submission);
 
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -20,7 +20,7 @@
 };
 /// Prompt length from which a request counts as long.
 const LONG_PROMPT_TOKENS: u32 = 3000;
-/// Longer than any run, because the reference model does not detect hung targets.
+/// Longer than any run, because the reference model does not detect unresponsive targets.
 const MIN_HANG_TIMEOUT: Duration = Duration::from_secs(3600);
 /// Fixed, so that each run generates the same operations.
 const SEED: u64 = 4;
@@ -86,7 +86,7 @@
     }
 }
 
-/// A queued ask and its position in the order of arrival.
+/// A queued submission and its position in the order of arrival.
 #[derive(Clone, Debug)]
 struct Waiting {
     submission: Submission,
@@ -105,7 +105,7 @@
         self.submission.prompt_tokens == LONG_PROMPT_TOKENS
     }
 
-    /// Returns the lane: requests with different needs of targets do not block each other.
+    /// Returns the size class: requests with different needs of targets do not block each other.
     fn size_class(&self) -> (bool, bool, bool) {
         let partial = self.submission.partial.is_some();
         let excluding = !partial && !self.submission.exclusions.is_empty();
@@ -225,8 +225,8 @@
         eligible.map(|t| t.id.clone()).collect()
     }
 
-    /// Returns the first request in dispatch order that has an eligible target. Within a lane, a
-    /// customer's requests are dispatched in order.
+    /// Returns the first request in dispatch order that has an eligible target. Within a size
+    /// class, a customer's requests are dispatched in order.
     fn next(&self, targets: &[TargetStatus]) -> Option<(String, BTreeSet<String>)> {
         let mut blocked = BTreeSet::new();
         for waiting in self.sorted() {
@@ -452,7 +452,8 @@
     finish(&mut harness, &mut model)
 }
 
-/// Ends all running requests until the queue is empty, so that every ask has got its verdict.
+/// Ends all running requests until the queue is empty, so that every submission has got its
+/// verdict.
 fn finish(harness: &mut Harness, model: &mut ReferenceModel) -> Result<(), String> {
     for target in 0..harness.pool.targets.len() {
         apply(harness, model, &Op::Return { target }, 0)?;
--- a/crates/lilaccrank/tests/suite/dispatch_overload.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_overload.rs
@@ -13,7 +13,8 @@
 };
 use crate::dispatch_harness::Harness;
 
-/// Fills the queue with asks of tier `low`, adds one of tier `new` and checks which is refused.
+/// Fills the queue with submissions of tier `low`, adds one of tier `new` and checks which is
+/// refused.
 macro_rules! full_queue {
     ($name:ident, $low:literal, $new:literal, $refused:literal) => {
         #[test]
@@ -218,7 +219,7 @@
     );
 }
 
-/// Checks which of three asks under a limit are refused, one for each customer in the list.
+/// Checks which of three submissions under a limit are refused, one for each customer in the list.
 macro_rules! limit {
     ($name:ident, $limit:expr, $customers:expr, $refused:expr) => {
         #[test]
@@ -317,6 +318,6 @@
     assert!(delays[98] > delays[0].mul_f64(1.2), "{delays:?}");
     assert!(
         delays[98] < MIN_HANG_TIMEOUT,
-        "one short ask is ahead: {delays:?}"
+        "one short submission is ahead: {delays:?}"
     );
 }
--- a/crates/lilaccrank/tests/suite/dispatch_restarts.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_restarts.rs
@@ -65,8 +65,8 @@
     assert_eq!(harness.grants(), granted("new", "t0"));
 }
 
-// Guards against a restarted target that is still treated as hung, slow or with a full cache. After the
-// restart its status equals that of a new target.
+// Guards against a restarted target that is still treated as unresponsive, slow or with a full
+// cache. After the restart its status equals that of a new target.
 #[test]
 fn restart_resets_all_that_was_learned() {
     let mut harness = harness(&[8]);
--- a/crates/lilaccrank/tests/suite/dispatch_resumed.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_resumed.rs
@@ -9,10 +9,10 @@
 use crate::dispatch_fixtures::{granted, harness, refused, submission};
 use crate::dispatch_harness::Harness;
 
-/// First-token objective of the asks.
+/// First-token objective of the submissions.
 const OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// Returns an ask with a first-token objective and a deadline of 10 s.
+/// Returns a submission with a first-token objective and a deadline of 10 s.
 fn submission_with_objective(request: &str, tier: u8) -> Submission {
     Submission {
         deadline: Some(Duration::from_secs(10)),
@@ -22,8 +22,8 @@
     }
 }
 
-/// Returns an ask to resume an answer after 400 tokens. `remaining` is the time in seconds that its
-/// current target would need for the rest.
+/// Returns a submission to resume an answer after 400 tokens. `remaining` is the time in seconds
+/// that its current target would need for the rest.
 fn submission_to_resume(request: &str, tier: u8, remaining: Option<u64>) -> Submission {
     Submission {
         partial: Some(PartialAnswer {
--- a/crates/lilaccrank/tests/suite/dispatch_spread.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_spread.rs
@@ -47,8 +47,8 @@
     assert!(spread <= 4, "{spread}");
 }
 
-/// Eight daemons that each have an ask waiting for the only slot of a target, which a ninth daemon
-/// holds, and have exchanged digests.
+/// Eight daemons that each have a submission waiting for the only slot of a target, which a ninth
+/// daemon holds, and have exchanged digests.
 struct WaitingDaemons {
     daemons: Vec<Harness>,
 }
@@ -139,8 +139,8 @@
     assert_eq!(harness.grants(), granted("report", "t0"));
 }
 
-/// Checks whether an ask of a tier is granted at a target that has so many prompt tokens left to
-/// prefill, at 8000 tokens a second, once all three tiers have had requests.
+/// Checks whether a submission of a tier is granted at a target that has so many prompt tokens left
+/// to prefill, at 8000 tokens a second, once all three tiers have had requests.
 macro_rules! prefill_backlog {
     ($name:ident, $tier:literal, $tokens:literal, $is_granted:literal) => {
         #[test]
--- a/crates/lilaccrank/tests/suite/dispatch_waits.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_waits.rs
@@ -55,8 +55,8 @@
 );
 slots_filled!(reservation_expires, 2, [0, 1], Duration::from_secs(700), 7);
 
-/// Checks that an ask of a tier is refused at a full target after a wait between these limits, in
-/// milliseconds.
+/// Checks that a submission of a tier is refused at a full target after a wait between these
+/// limits, in milliseconds.
 macro_rules! max_wait {
     ($name:ident, $tier:literal, $from:literal, $until:literal) => {
         #[test]
@@ -81,8 +81,8 @@
 max_wait!(middle_tier_waits_for_its_objective, 1, 800, 950);
 max_wait!(first_tier_waits_past_its_objective, 0, 2_900, 3_100);
 
-/// Returns a harness whose only slot is taken and where four asks of the last tier have just waited and
-/// been refused.
+/// Returns a harness whose only slot is taken and where four submissions of the last tier have just
+/// waited and been refused.
 fn harness_after_refused_waits() -> Harness {
     let mut harness = harness(&[1]);
     harness.submit(submission("runs", 0));
--- a/crates/lilaccrank/tests/suite/pool_model/dispatcher_policy.rs
+++ b/crates/lilaccrank/tests/suite/pool_model/dispatcher_policy.rs
@@ -22,7 +22,8 @@
 /// Time between two digests of a daemon, in milliseconds.
 const DIGEST_INTERVAL_MS: u64 = 10;
 
-/// Suffix of the request id that marks the ask for a migration, unlike the first ask of the request.
+/// Suffix of the request id that marks the submission for a migration, unlike the first submission
+/// of the request.
 const MIGRATION_SUFFIX: &str = "+";
 
 /// An answer that is being generated.
--- a/crates/lilaccrank/tests/suite/rate_limit.rs
+++ b/crates/lilaccrank/tests/suite/rate_limit.rs
@@ -116,7 +116,7 @@
     (0..count).map(target).collect()
 }
 
-/// Dispatchers of one cell for one target with a rate limit; each always has asks waiting.
+/// Dispatchers of one cell for one target with a rate limit; each always has submissions waiting.
 struct Dispatchers {
     daemons: Vec<Harness>,
     grants: Vec<usize>,
