--- a/crates/lilaccrank/src/dispatch/choice.rs
+++ b/crates/lilaccrank/src/dispatch/choice.rs
@@ -34,7 +34,7 @@
 /// Maximum prefill backlog of a target, in time, for further work with an objective, indexed by the
 /// number of active tiers before its own. Submissions in the dispatcher's queue go to the first
 /// target that becomes free, in tier order. Those behind a target's backlog are bound to that
-/// target in order of arrival, and prefill also pauses all streams on the target.
+/// target, whatever their tier, and prefill also pauses all streams on the target.
 const PREFILL_BACKLOG_LIMITS: [Duration; 3] = [
     Duration::from_millis(200),
     Duration::from_millis(90),
