--- a/crates/lilaccrankd/src/daemon.rs
+++ b/crates/lilaccrankd/src/daemon.rs
@@ -55,7 +55,7 @@
 /// Part of the lease reserved for the time from the check until the request reaches the target.
 const LEASE_MARGIN: Duration = Duration::from_millis(250);
 /// Timeout of a query to the keeper of a key.
-const KEEPER_TIMEOUT: Duration = Duration::from_secs(2);
+const KEY_OWNER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Shared state of a daemon's tasks.
 pub struct Daemon {
@@ -79,7 +79,7 @@
     in_progress: Cell<usize>,
     incarnation: Incarnation,
     /// Records of the request keys that this daemon keeps.
-    pub keeper: KeyOwner<MonoioClock, PeerNetwork, Duties>,
+    pub key_owner: KeyOwner<MonoioClock, PeerNetwork, Duties>,
     keys_settled: Cell<bool>,
     /// Set at the start of a shutdown; makes the readiness check fail.
     pub leaving: Cell<bool>,
@@ -159,7 +159,7 @@
         let platform = StoreClient::counted(cfg.platform.to_string(), traffic.store.clone());
         let guards = guarded_store::Settings::default();
         let store = GuardedStore::new(guards, platform.clone(), MonoioClock);
-        let keeper = KeyOwner::new(
+        let key_owner = KeyOwner::new(
             MonoioClock,
             peers.clone(),
             duties.clone(),
@@ -167,7 +167,7 @@
         );
         let per_s = f64::from(cfg.store_claims_per_s);
         let budget = Budget::new(MonoioClock, per_s, per_s * STORE_CLAIMS_BURST);
-        let claims = Claims::new(keeper.clone(), store.clone(), budget, KEEPER_TIMEOUT);
+        let claims = Claims::new(key_owner.clone(), store.clone(), budget, KEY_OWNER_TIMEOUT);
         let order_manager = OrderManager::new(&cfg, incarnation, store.clone());
         Ok(Self {
             adoption: Adoption::new(),
@@ -183,7 +183,7 @@
             in_force: RefCell::default(),
             in_progress: Cell::new(0),
             incarnation,
-            keeper,
+            key_owner,
             keys_settled: Cell::new(false),
             head_limits: Rc::default(),
             platform_contact: PlatformContact::default(),
@@ -275,7 +275,7 @@
         if !self.cfg.request_keys {
             return true;
         }
-        let settled = self.keys_settled.get() || self.keeper.is_settled();
+        let settled = self.keys_settled.get() || self.key_owner.is_settled();
         self.keys_settled.set(settled);
         settled
     }
--- a/crates/lilaccrankd/src/serve.rs
+++ b/crates/lilaccrankd/src/serve.rs
@@ -43,7 +43,7 @@
 /// Interval at which expired answers and claims are removed.
 const EXPIRE_EVERY: Duration = Duration::from_secs(1);
 /// Interval at which the keeper checks for pauses of the process and for expired keys.
-const KEEPER_TICK: Duration = Duration::from_millis(100);
+const KEY_OWNER_TICK: Duration = Duration::from_millis(100);
 
 /// Why the daemon can't run.
 #[derive(Debug, Error)]
@@ -106,7 +106,7 @@
     monoio::spawn(follow_members(Rc::clone(&daemon)));
     monoio::spawn(expire(Rc::clone(&daemon)));
     if daemon.cfg.request_keys {
-        start_keeper(&daemon);
+        start_key_owner(&daemon);
     }
     let shared = Rc::clone(&daemon);
     let tally = traffic.peer_served.clone();
@@ -149,9 +149,9 @@
     Ok(())
 }
 
-fn start_keeper(daemon: &Rc<Daemon>) {
-    let keeper = daemon.keeper.clone();
-    monoio::spawn(async move { keeper.run(KEEPER_TICK).await });
+fn start_key_owner(daemon: &Rc<Daemon>) {
+    let key_owner = daemon.key_owner.clone();
+    monoio::spawn(async move { key_owner.run(KEY_OWNER_TICK).await });
     let claims = daemon.claims.clone();
     monoio::spawn(async move { claims.sweep_every(EXPIRE_EVERY).await });
 }
@@ -194,7 +194,7 @@
             identity: daemon.adoption.identity(),
         }
         .into(),
-        PeerRequest::Key(req) => daemon.keeper.handle(req).await.into(),
+        PeerRequest::Key(req) => daemon.key_owner.handle(req).await.into(),
         PeerRequest::Feed(asked) => feed::answer(&daemon, &asked).into(),
         PeerRequest::Order(req) => jobs::handle(&daemon, req).into(),
         PeerRequest::Pool(req) => pools::server::handle(&daemon, req).into(),
