--- a/crates/lilaccrankd/src/daemon.rs
+++ b/crates/lilaccrankd/src/daemon.rs
@@ -54,7 +54,7 @@
 const STORE_CLAIMS_BURST: f64 = 10.0;
 /// Part of the lease reserved for the time from the check until the request reaches the target.
 const LEASE_MARGIN: Duration = Duration::from_millis(250);
-/// Timeout of a query to the keeper of a key.
+/// Timeout of a query to the owner of a key.
 const KEY_OWNER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Shared state of a daemon's tasks.
@@ -78,7 +78,7 @@
     in_force: RefCell<Option<Rc<InForce>>>,
     in_progress: Cell<usize>,
     incarnation: Incarnation,
-    /// Records of the request keys that this daemon keeps.
+    /// Records of the request keys that this daemon owns.
     pub key_owner: KeyOwner<MonoioClock, PeerNetwork, Duties>,
     keys_settled: Cell<bool>,
     /// Set at the start of a shutdown; makes the readiness check fail.
--- a/crates/lilaccrankd/src/serve.rs
+++ b/crates/lilaccrankd/src/serve.rs
@@ -42,7 +42,7 @@
 
 /// Interval at which expired answers and claims are removed.
 const EXPIRE_EVERY: Duration = Duration::from_secs(1);
-/// Interval at which the keeper checks for pauses of the process and for expired keys.
+/// Interval at which the key owner checks for pauses of the process and for expired keys.
 const KEY_OWNER_TICK: Duration = Duration::from_millis(100);
 
 /// Why the daemon can't run.
