--- a/crates/lilaccrank/src/dispatch/fair.rs
+++ b/crates/lilaccrank/src/dispatch/fair.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::queue::{Item, Lane};
+use super::queue::{Item, SizeClass};
 use super::work::Work;
 use crate::ids::{CustomerId, RequestId};
 
@@ -13,35 +13,35 @@
 /// Number of idle customers kept before a cleanup.
 const IDLE_FLOW_LIMIT: usize = 4096;
 
-/// Position of a customer's first ask in the order of its priority; lower goes first.
+/// Position of a customer's first submission in the order of its priority; lower goes first.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub struct Position {
     virtual_time: u64,
     sequence: u64,
-    /// Request of the ask.
+    /// Request of the submission.
     pub request: RequestId,
 }
 
-/// Waiting asks of one customer.
+/// Waiting submissions of one customer.
 #[derive(Debug, Default)]
 struct Flow {
     backlog: Work,
-    lanes: [BTreeMap<u64, RequestId>; Lane::ALL.len()],
+    size_classes: [BTreeMap<u64, RequestId>; SizeClass::ALL.len()],
     virtual_time: u64,
     weight: u64,
 }
 
 impl Flow {
     fn is_empty(&self) -> bool {
-        self.lanes.iter().all(BTreeMap::is_empty)
+        self.size_classes.iter().all(BTreeMap::is_empty)
     }
 
     fn weighted_backlog(&self) -> u64 {
         self.backlog.tokens() * VIRTUAL_TIME_PER_TOKEN / self.weight
     }
 
-    fn position(&self, lane: Lane) -> Option<Position> {
-        let (&sequence, request) = self.lanes[lane as usize].first_key_value()?;
+    fn position(&self, size_class: SizeClass) -> Option<Position> {
+        let (&sequence, request) = self.size_classes[size_class as usize].first_key_value()?;
         Some(Position {
             virtual_time: self.virtual_time,
             sequence,
@@ -50,18 +50,21 @@
     }
 
     fn newest(&self) -> Option<&RequestId> {
-        let last = self.lanes.iter().filter_map(BTreeMap::last_key_value);
+        let last = self
+            .size_classes
+            .iter()
+            .filter_map(BTreeMap::last_key_value);
         last.max_by_key(|(sequence, _)| **sequence)
             .map(|(_, request)| request)
     }
 }
 
-/// Waiting asks of one priority.
+/// Waiting submissions of one priority.
 #[derive(Debug, Default)]
 pub struct FairQueue {
     weighted_backlogs: BTreeSet<(u64, CustomerId)>,
     flows: IndexMap<CustomerId, Flow>,
-    heads: [BTreeSet<Position>; Lane::ALL.len()],
+    heads: [BTreeSet<Position>; SizeClass::ALL.len()],
     idle: usize,
     len: usize,
     total: Work,
@@ -69,9 +72,9 @@
 }
 
 impl FairQueue {
-    /// Adds an ask. A customer without waiting asks starts at the queue's virtual time: idle time
-    /// earns no credit, since a customer could otherwise accumulate credit and then block the
-    /// others.
+    /// Adds a submission. A customer without waiting submissions starts at the queue's virtual
+    /// time: idle time earns no credit, since a customer could otherwise accumulate credit and then
+    /// block the others.
     pub fn push(&mut self, item: &Item, sequence: u64) {
         let virtual_time = self.virtual_time;
         let idle = self.flows.get(&item.customer).is_some_and(Flow::is_empty);
@@ -83,17 +86,17 @@
                 false => flow.virtual_time,
             };
             flow.backlog += item.work;
-            flow.lanes[item.lane as usize].insert(sequence, item.request.clone());
+            flow.size_classes[item.size_class as usize].insert(sequence, item.request.clone());
         });
         self.len += 1;
         self.total += item.work;
     }
 
-    /// Removes an ask.
+    /// Removes a submission.
     pub fn remove(&mut self, item: &Item, sequence: u64) {
         self.update(&item.customer, |flow| {
             flow.backlog -= item.work;
-            flow.lanes[item.lane as usize].remove(&sequence);
+            flow.size_classes[item.size_class as usize].remove(&sequence);
         });
         self.len -= 1;
         self.total -= item.work;
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Advances the virtual time of a customer whose ask is granted.
+    /// Advances the virtual time of a customer whose submission is granted.
     pub fn charge(&mut self, item: &Item) {
         let mut start = 0;
         self.update(&item.customer, |flow| {
@@ -113,19 +116,19 @@
         self.virtual_time = self.virtual_time.max(start);
     }
 
-    /// First ask of each customer in a lane, in order.
-    pub fn heads(&self, lane: Lane) -> impl Iterator<Item = &Position> + '_ {
-        self.heads[lane as usize].iter()
+    /// First submission of each customer in a size class, in order.
+    pub fn heads(&self, size_class: SizeClass) -> impl Iterator<Item = &Position> + '_ {
+        self.heads[size_class as usize].iter()
     }
 
-    /// Newest ask of the customer with the largest backlog per weight.
+    /// Newest submission of the customer with the largest backlog per weight.
     pub fn victim(&self) -> Option<&RequestId> {
         let (_, customer) = self.weighted_backlogs.last()?;
         self.flows[customer].newest()
     }
 
-    /// Work ahead of a new ask of `customer`: its own backlog, and for each other customer the
-    /// share that its weight allows meanwhile.
+    /// Work ahead of a new submission of `customer`: its own backlog, and for each other customer
+    /// the share that its weight allows meanwhile.
     pub fn work_ahead(&self, customer: &str, weight: u32) -> Work {
         let own = self.flows.get(customer);
         let own = own.map_or(Work::default(), |flow| flow.backlog);
@@ -141,17 +144,17 @@
         })
     }
 
-    /// Total work of all waiting asks.
+    /// Total work of all waiting submissions.
     pub fn total(&self) -> Work {
         self.total
     }
 
-    /// Number of waiting asks.
+    /// Number of waiting submissions.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Returns `true` if no ask waits.
+    /// Returns `true` if no submission waits.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -159,9 +162,9 @@
     /// Updates one flow and keeps the ordered sets consistent with it.
     fn update(&mut self, customer: &str, f: impl FnOnce(&mut Flow)) {
         let flow = self.flows.entry(customer.to_owned()).or_default();
-        for lane in Lane::ALL {
-            if let Some(position) = flow.position(lane) {
-                self.heads[lane as usize].remove(&position);
+        for size_class in SizeClass::ALL {
+            if let Some(position) = flow.position(size_class) {
+                self.heads[size_class as usize].remove(&position);
             }
         }
         if !flow.is_empty() {
@@ -169,8 +172,8 @@
                 .remove(&(flow.weighted_backlog(), customer.to_owned()));
         }
         f(flow);
-        for lane in Lane::ALL {
-            self.heads[lane as usize].extend(flow.position(lane));
+        for size_class in SizeClass::ALL {
+            self.heads[size_class as usize].extend(flow.position(size_class));
         }
         if !flow.is_empty() {
             self.weighted_backlogs
@@ -179,7 +182,7 @@
     }
 
     /// Removes idle customers whose virtual time isn't ahead of the queue's. Customers that are
-    /// ahead are kept, since they would otherwise return without their debt.
+    /// ahead are kept, since their virtual time would otherwise be reset when they return.
     fn prune_idle(&mut self) {
         if self.idle <= IDLE_FLOW_LIMIT {
             return;
--- a/crates/lilaccrank/tests/suite/dispatch_restarts.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_restarts.rs
@@ -65,8 +65,8 @@
     assert_eq!(harness.grants(), granted("new", "t0"));
 }
 
-// Guards against a restarted target that is still treated as hung, slow or with a full cache. After the
-// restart its status equals that of a new target.
+// Guards against a restarted target that is still treated as unresponsive, slow or with a full
+// cache. After the restart its status equals that of a new target.
 #[test]
 fn restart_resets_all_that_was_learned() {
     let mut harness = harness(&[8]);
@@ -88,7 +88,7 @@
     harness.verdicts();
     harness.advance(Duration::from_secs(60));
     let degraded = harness.dispatcher.status().targets[0].clone();
-    assert_eq!(degraded.health, State::Hung);
+    assert_eq!(degraded.health, State::Unresponsive);
     assert!(degraded.slowness > 1.0 && degraded.cached_blocks > 0);
     restart_target(&mut harness);
     let status = harness.dispatcher.status();
