--- a/crates/lilaccrank/src/membership.rs
+++ b/crates/lilaccrank/src/membership.rs
@@ -140,7 +140,7 @@
         }
         let mut members: Vec<_> = table
             .all()
-            .filter(|member| member.takes_duties())
+            .filter(|member| member.can_own_duties())
             .cloned()
             .collect();
         members.sort_unstable_by(|a, b| a.vm.cmp(&b.vm));
--- a/crates/lilaccrank/src/membership/gossip.rs
+++ b/crates/lilaccrank/src/membership/gossip.rs
@@ -65,7 +65,7 @@
     /// Takes part in the gossip until dropped.
     pub async fn run(self) {
         let node = &self.node;
-        let commands = self.commands.map(|command| node.serve(command));
+        let commands = self.commands.map(|command| node.handle_command(command));
         // One watch per member at most, so their number is bounded by the table.
         let watches = commands.for_each_concurrent(None, |watch| watch);
         futures::join!(
@@ -81,7 +81,7 @@
     async fn receive(&self) {
         loop {
             match self.datagrams.recv().await {
-                Ok(datagram) => self.take(datagram).await,
+                Ok(datagram) => self.handle_datagram(datagram).await,
                 Err(err) => {
                     log::warn!("membership: {err}");
                     self.clock.sleep(self.cfg.probe_timeout).await;
@@ -90,7 +90,7 @@
         }
     }
 
-    async fn take(&self, datagram: Datagram) {
+    async fn handle_datagram(&self, datagram: Datagram) {
         let message = match Message::decode(&datagram.bytes) {
             Ok(message) => message,
             Err(err) => {
@@ -98,16 +98,17 @@
                 return;
             }
         };
-        let mut first = self.merge(message.updates).await;
-        if self.holds_report_against(&message.from) {
+        let mut priority = self.apply_reports(message.updates).await;
+        if self.is_suspect_or_dead(&message.from) {
             // A thawed daemon doesn't know that it was declared dead, and the others no longer
             // probe it: it has to hear it in the answers to its own messages.
-            first.push(message.from);
+            priority.push(message.from);
         }
-        self.answer(datagram.from, message.body, &first).await;
+        self.handle_body(datagram.from, message.body, &priority)
+            .await;
     }
 
-    fn holds_report_against(&self, vm: &str) -> bool {
+    fn is_suspect_or_dead(&self, vm: &str) -> bool {
         let table = self.shared.table.borrow();
         table
             .get(vm)
@@ -115,36 +116,36 @@
     }
 
     /// Takes in reports; returns the members whose record the sender has to hear.
-    async fn merge(&self, reports: Vec<Member>) -> Vec<VmId> {
+    async fn apply_reports(&self, reports: Vec<Member>) -> Vec<VmId> {
         let now = self.clock.now();
-        let mut first = Vec::new();
+        let mut priority = Vec::new();
         for report in reports {
             let vm = report.vm.clone();
             match self.shared.update(|table| table.apply(report, now)) {
                 Applied::NewSuspect => self.shared.send(Command::ReportedSuspect(vm)),
-                Applied::Resurrected(record) => self.tell_of_death(record).await,
-                Applied::StaleAboutMe => first.push(vm),
+                Applied::Resurrected(record) => self.notify_declared_dead(record).await,
+                Applied::StaleAboutMe => priority.push(vm),
                 Applied::Changed | Applied::Unchanged => {}
             }
         }
-        first
+        priority
     }
 
     /// A member that refuted an older suspicion looks live again before it heard of its death.
     /// Unless told, it would keep the grants and duties that others took over.
-    async fn tell_of_death(&self, record: Member) {
+    async fn notify_declared_dead(&self, record: Member) {
         self.transmit(record.gossip, Body::Update, vec![record])
             .await;
     }
 
-    async fn answer(&self, from: SocketAddr, body: Body, first: &[VmId]) {
+    async fn handle_body(&self, from: SocketAddr, body: Body, priority: &[VmId]) {
         match body {
             Body::Ack { seq } => {
                 let pending = self.probes.borrow_mut().finish(seq);
                 match pending {
                     Some(Pending::Own(tx)) => drop(tx.send(())),
-                    Some(Pending::Relayed { asker, seq }) => {
-                        self.send(asker, Body::Ack { seq }, first).await;
+                    Some(Pending::Relayed { requester, seq }) => {
+                        self.send(requester, Body::Ack { seq }, priority).await;
                     }
                     None => {}
                 }
@@ -159,13 +160,16 @@
                 seq,
                 target,
             } => {
-                let relayed = Pending::Relayed { asker: from, seq };
+                let relayed = Pending::Relayed {
+                    requester: from,
+                    seq,
+                };
                 let seq = self.probes.borrow_mut().begin(relayed, self.clock.now());
                 self.send(address, Body::Ping { seq, target }, &[]).await;
             }
             Body::Ping { seq, target } => {
                 if target == self.my_vm() {
-                    self.send(from, Body::Ack { seq }, first).await;
+                    self.send(from, Body::Ack { seq }, priority).await;
                 }
             }
             Body::Table { reply_wanted: true } => self.send_table(from, false).await,
@@ -198,11 +202,11 @@
             let jitter = self.rng.borrow_mut().random_range(0.75..1.25);
             self.clock.sleep(period.mul_f64(jitter)).await;
             let now = self.clock.now();
-            self.shared.update(|table| table.forget_dead(now));
-            self.probes.borrow_mut().forget_old(now);
-            let lost = self.choose(&self.lost_addresses());
+            self.shared.update(|table| table.remove_expired_dead(now));
+            self.probes.borrow_mut().remove_expired(now);
+            let reconnect = self.choose(&self.reconnect_addresses());
             let known = self.choose(&self.known_addresses());
-            for address in [known, lost].into_iter().flatten() {
+            for address in [known, reconnect].into_iter().flatten() {
                 self.send_digest(address).await;
             }
         }
@@ -216,7 +220,7 @@
     /// Addresses of dead members and of seeds where no member is known. After a partition each
     /// side takes the other for dead and no longer probes it: without these letters to the dead
     /// the two would never meet again.
-    fn lost_addresses(&self) -> Vec<SocketAddr> {
+    fn reconnect_addresses(&self) -> Vec<SocketAddr> {
         let table = self.shared.table.borrow();
         let seeds = self.shared.seeds.borrow();
         let dead = table
@@ -228,13 +232,13 @@
                 .all()
                 .any(|member| member.state != State::Dead && member.gossip == *address)
         };
-        let mut lost: Vec<_> = dead
+        let mut reconnect: Vec<_> = dead
             .chain(seeds.iter().copied())
             .filter(|address| !known(address))
             .collect();
-        lost.sort_unstable();
-        lost.dedup();
-        lost
+        reconnect.sort_unstable();
+        reconnect.dedup();
+        reconnect
     }
 
     fn choose(&self, addresses: &[SocketAddr]) -> Option<SocketAddr> {
@@ -266,9 +270,9 @@
         }
     }
 
-    /// Sends `body` with as many changes as fit, the records of `first` before others.
-    pub(super) async fn send(&self, to: SocketAddr, body: Body, first: &[VmId]) {
-        let updates = self.shared.table.borrow_mut().take_updates(first);
+    /// Sends `body` with as many changes as fit, the records of `priority` before others.
+    pub(super) async fn send(&self, to: SocketAddr, body: Body, priority: &[VmId]) {
+        let updates = self.shared.table.borrow_mut().take_updates(priority);
         self.transmit(to, body, updates).await;
     }
 
--- a/crates/lilaccrank/src/membership/member.rs
+++ b/crates/lilaccrank/src/membership/member.rs
@@ -57,7 +57,7 @@
     /// Whether it may own duties. A suspect keeps them: most suspicions are refuted, and moving
     /// duties to and fro costs more than a short wait.
     #[must_use]
-    pub fn takes_duties(&self) -> bool {
+    pub fn can_own_duties(&self) -> bool {
         matches!(self.state, State::Live | State::Suspect)
     }
 }
--- a/crates/lilaccrank/src/membership/message.rs
+++ b/crates/lilaccrank/src/membership/message.rs
@@ -80,15 +80,15 @@
 }
 
 /// Counts the updates into one datagram until it is full.
-pub(super) struct Room(usize);
+pub(super) struct DatagramBudget(usize);
 
-impl Room {
+impl DatagramBudget {
     pub(super) fn new() -> Self {
         Self(DATAGRAM_LIMIT - BODY_RESERVE)
     }
 
     /// Takes the room that `member` needs; false if there is not enough.
-    pub(super) fn take(&mut self, member: &Member) -> bool {
+    pub(super) fn reserve(&mut self, member: &Member) -> bool {
         let size = rmp_serde::to_vec(member).map_or(usize::MAX, |bytes| bytes.len());
         let fits = size <= self.0;
         if fits {
--- a/crates/lilaccrank/src/membership/probe.rs
+++ b/crates/lilaccrank/src/membership/probe.rs
@@ -16,12 +16,12 @@
 use crate::ids::VmId;
 
 /// How long an answer to a ping is waited for before its record is dropped.
-const PENDING_KEPT: Duration = Duration::from_secs(2);
+const PENDING_TTL: Duration = Duration::from_secs(2);
 
 /// Who waits for the answer to a ping.
 pub(super) enum Pending {
     Own(oneshot::Sender<()>),
-    Relayed { asker: SocketAddr, seq: u64 },
+    Relayed { requester: SocketAddr, seq: u64 },
 }
 
 /// Pings under way and the order of the current round.
@@ -43,9 +43,9 @@
         self.pending.swap_remove(&seq).map(|(_, pending)| pending)
     }
 
-    pub(super) fn forget_old(&mut self, now: Instant) {
+    pub(super) fn remove_expired(&mut self, now: Instant) {
         self.pending
-            .retain(|_, (begun, _)| now - *begun < PENDING_KEPT);
+            .retain(|_, (begun, _)| now - *begun < PENDING_TTL);
     }
 }
 
@@ -86,13 +86,14 @@
         let limit = self.cfg.probe_timeout;
         let target = member.vm.clone();
         let body = Body::Ping { seq, target };
-        self.send(member.gossip, body.clone(), &reported(&member))
+        self.send(member.gossip, body.clone(), &records_to_refute(&member))
             .await;
         if let Some(answer) = clock::timeout(&self.clock, limit, &mut rx).await {
             return answer.is_ok();
         }
         // The direct way once more as well: with two or three members there are few helpers.
-        self.send(member.gossip, body, &reported(&member)).await;
+        self.send(member.gossip, body, &records_to_refute(&member))
+            .await;
         for helper in self.helpers(&member.vm) {
             let body = Body::IndirectPing {
                 address: member.gossip,
@@ -122,7 +123,7 @@
 }
 
 /// A suspect has to hear of the suspicion, or it can't refute it.
-fn reported(member: &Member) -> Vec<VmId> {
+fn records_to_refute(member: &Member) -> Vec<VmId> {
     match member.state {
         State::Dead | State::Suspect => vec![member.vm.clone()],
         State::Leaving | State::Live => Vec::new(),
--- a/crates/lilaccrank/src/membership/settings.rs
+++ b/crates/lilaccrank/src/membership/settings.rs
@@ -34,7 +34,7 @@
 impl Settings {
     /// Longest time that one probe takes.
     #[must_use]
-    pub fn probe_limit(&self) -> Duration {
+    pub fn max_probe_duration(&self) -> Duration {
         self.probe_timeout * 2
     }
 
--- a/crates/lilaccrank/src/membership/suspicion.rs
+++ b/crates/lilaccrank/src/membership/suspicion.rs
@@ -10,10 +10,10 @@
 use crate::ids::{Incarnation, VmId};
 
 /// Who only heard of a suspicion waits this many times its length before it probes itself.
-const HEARSAY_FACTOR: u32 = 2;
+const REPORTED_SUSPICION_FACTOR: u32 = 2;
 
 impl<C: Clock, D: Datagrams> Node<C, D> {
-    pub(super) async fn serve(&self, command: Command) {
+    pub(super) async fn handle_command(&self, command: Command) {
         match command {
             Command::ProbeHint(vm) => self.watch_once(&vm, self.check_hint(&vm)).await,
             Command::Leave(done) => {
@@ -21,7 +21,9 @@
                 // The caller may have stopped waiting; all the same the others know.
                 let _ = done.send(());
             }
-            Command::ReportedSuspect(vm) => self.watch_once(&vm, self.watch_hearsay(&vm)).await,
+            Command::ReportedSuspect(vm) => {
+                self.watch_once(&vm, self.watch_reported_suspect(&vm)).await
+            }
             Command::Suspect(vm) => self.watch_once(&vm, self.watch(&vm)).await,
         }
     }
@@ -52,9 +54,11 @@
     /// If all who heard of a suspicion ran a timer, one lost refutation among many would kill a
     /// live member. Hearsay counts only when it outlasts the suspicion by far, as when the
     /// first to suspect died itself; and then this daemon's own probes decide.
-    async fn watch_hearsay(&self, vm: &str) {
-        let probes = self.cfg.suspicion_probes(self.members()) * HEARSAY_FACTOR;
-        self.clock.sleep(self.cfg.probe_limit() * probes).await;
+    async fn watch_reported_suspect(&self, vm: &str) {
+        let probes = self.cfg.suspicion_probes(self.member_count()) * REPORTED_SUSPICION_FACTOR;
+        self.clock
+            .sleep(self.cfg.max_probe_duration() * probes)
+            .await;
         if self.state(vm) == Some(State::Suspect) {
             self.watch(vm).await;
         }
@@ -69,7 +73,7 @@
             return;
         };
         let mut failures = 0;
-        while failures < self.cfg.suspicion_probes(self.members()) {
+        while failures < self.cfg.suspicion_probes(self.member_count()) {
             if !self.probe(vm).await {
                 failures += 1;
                 self.mark(vm, incarnation, State::Suspect);
@@ -101,7 +105,7 @@
         (member.state != State::Dead).then_some(member.incarnation)
     }
 
-    fn members(&self) -> usize {
+    fn member_count(&self) -> usize {
         self.shared.table.borrow().others().count() + 1
     }
 
--- a/crates/lilaccrank/src/membership/table.rs
+++ b/crates/lilaccrank/src/membership/table.rs
@@ -6,14 +6,14 @@
 use xxhash_rust::xxh3;
 
 use super::member::{Member, State};
-use super::message::Room;
+use super::message::DatagramBudget;
 use crate::ids::{Incarnation, VmId};
 
 /// How often a change is sent, per doubling of the members.
 const SENDS_PER_DOUBLING: u32 = 3;
 
 /// How long a dead member is remembered, so that it learns of it when it thaws.
-const DEAD_KEPT: Duration = Duration::from_secs(3_600);
+const DEAD_MEMBER_TTL: Duration = Duration::from_secs(3_600);
 
 /// What a report did to the table.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -33,7 +33,7 @@
 pub(super) struct Table {
     pub(super) declared_dead: u64,
     /// Highest incarnation of this daemon whose declared death is counted, or that it never had.
-    dead_up_to: Incarnation,
+    max_counted_incarnation: Incarnation,
     me: VmId,
     members: IndexMap<VmId, Entry>,
     pub(super) version: u64,
@@ -49,7 +49,7 @@
     pub(super) fn new(me: Member, now: Instant) -> Self {
         let mut table = Self {
             declared_dead: 0,
-            dead_up_to: me.incarnation.saturating_sub(1),
+            max_counted_incarnation: me.incarnation.saturating_sub(1),
             me: me.vm.clone(),
             members: IndexMap::new(),
             version: 1,
@@ -94,7 +94,7 @@
         }
         let declared_dead = known.filter(|known| known.state == State::Dead).cloned();
         let suspect = report.state == State::Suspect;
-        self.bury_predecessors(&report, now);
+        self.mark_predecessors_dead(&report, now);
         self.store(report, now);
         match declared_dead {
             Some(record) => Applied::Resurrected(record),
@@ -149,8 +149,8 @@
     /// Counts each declaration of death once, also one that was refuted before it was heard of:
     /// a thawed daemon may first read an older suspicion and raise its incarnation for that.
     fn count_death(&mut self, report: &Member) {
-        if report.state == State::Dead && report.incarnation > self.dead_up_to {
-            self.dead_up_to = report.incarnation;
+        if report.state == State::Dead && report.incarnation > self.max_counted_incarnation {
+            self.max_counted_incarnation = report.incarnation;
             self.declared_dead += 1;
             self.version += 1;
         }
@@ -159,17 +159,17 @@
     /// A replaced vm comes back under another name at the same address. Without this the old
     /// name would keep its duties until its probes had failed for the whole suspicion. A later
     /// start at one address proves that the earlier process is gone.
-    fn bury_predecessors(&mut self, report: &Member, now: Instant) {
+    fn mark_predecessors_dead(&mut self, report: &Member, now: Instant) {
         if report.state != State::Live {
             return;
         }
-        let gone: Vec<_> = self
+        let predecessors: Vec<_> = self
             .others()
             .filter(|other| other.gossip == report.gossip && other.vm != report.vm)
             .filter(|other| other.incarnation < report.incarnation)
             .cloned()
             .collect();
-        for mut member in gone {
+        for mut member in predecessors {
             member.state = State::Dead;
             self.store(member, now);
         }
@@ -187,13 +187,13 @@
     }
 
     /// Changes that go with the next datagram: the least often sent first, and before them the
-    /// members in `first`.
-    pub(super) fn take_updates(&mut self, first: &[VmId]) -> Vec<Member> {
-        let mut room = Room::new();
+    /// members in `priority`.
+    pub(super) fn take_updates(&mut self, priority: &[VmId]) -> Vec<Member> {
+        let mut budget = DatagramBudget::new();
         let mut updates: Vec<Member> = Vec::new();
-        for vm in first {
+        for vm in priority {
             if let Some(member) = self.get(vm)
-                && room.take(member)
+                && budget.reserve(member)
             {
                 updates.push(member.clone());
             }
@@ -201,11 +201,11 @@
         let mut waiting: Vec<&mut Entry> = self
             .members
             .values_mut()
-            .filter(|entry| entry.sends_left > 0 && !first.contains(&entry.member.vm))
+            .filter(|entry| entry.sends_left > 0 && !priority.contains(&entry.member.vm))
             .collect();
         waiting.sort_by_key(|entry| std::cmp::Reverse(entry.sends_left));
         for entry in waiting {
-            if !room.take(&entry.member) {
+            if !budget.reserve(&entry.member) {
                 break;
             }
             entry.sends_left -= 1;
@@ -217,12 +217,12 @@
     /// The whole table in parts that each fit one datagram.
     pub(super) fn parts(&self) -> Vec<Vec<Member>> {
         let mut parts = vec![Vec::new()];
-        let mut room = Room::new();
+        let mut budget = DatagramBudget::new();
         for member in self.all() {
-            if !room.take(member) {
+            if !budget.reserve(member) {
                 parts.push(Vec::new());
-                room = Room::new();
-                room.take(member);
+                budget = DatagramBudget::new();
+                budget.reserve(member);
             }
             if let Some(part) = parts.last_mut() {
                 part.push(member.clone());
@@ -245,9 +245,9 @@
     }
 
     /// Forgets members that died long ago.
-    pub(super) fn forget_dead(&mut self, now: Instant) {
+    pub(super) fn remove_expired_dead(&mut self, now: Instant) {
         self.members.retain(|_, entry| {
-            entry.member.state != State::Dead || now - entry.changed_at < DEAD_KEPT
+            entry.member.state != State::Dead || now - entry.changed_at < DEAD_MEMBER_TTL
         });
     }
 }
--- a/crates/lilaccrank/src/timeline/merge.rs
+++ b/crates/lilaccrank/src/timeline/merge.rs
@@ -6,8 +6,8 @@
 ///
 /// Daemons observe the stamps of messages, so the order of stamps contains the causal one.
 #[must_use]
-pub fn merge(lines: impl IntoIterator<Item = Vec<Event>>) -> Vec<Event> {
-    let mut events: Vec<Event> = lines.into_iter().flatten().collect();
+pub fn merge(timelines: impl IntoIterator<Item = Vec<Event>>) -> Vec<Event> {
+    let mut events: Vec<Event> = timelines.into_iter().flatten().collect();
     events.sort_by(|a, b| a.stamp.cmp(&b.stamp));
     events.dedup_by(|a, b| a.stamp == b.stamp && a == b);
     events
--- a/crates/lilaccrank/tests/suite/membership.rs
+++ b/crates/lilaccrank/tests/suite/membership.rs
@@ -36,27 +36,30 @@
 // first suspicion, which it refutes first; in each case it has to learn of its death within a few
 // periods, so that its embedding code drops what it held. Its first messages are lost.
 macro_rules! thawed {
-    ($($name:ident: $count:expr, $heard:expr;)*) => {$(
+    ($($name:ident: $count:expr, $known_state:expr;)*) => {$(
         #[test]
         fn $name() {
             for phase in 0..5 {
-                thaw_after_death($count, $heard, phase * 130);
+                thaw_after_death($count, $known_state, phase * 130);
             }
         }
     )*};
 }
 
-fn thaw_after_death(count: usize, heard: State, phase_ms: u64) {
+fn thaw_after_death(count: usize, known_state: State, phase_ms: u64) {
     let mut cluster = Cluster::new(count);
     cluster.advance(phase_ms);
-    let told = Rc::new(Cell::new(0));
-    let (membership, seen) = (cluster.daemons[1].membership.clone(), Rc::clone(&told));
+    let death_count = Rc::new(Cell::new(0));
+    let (membership, seen) = (
+        cluster.daemons[1].membership.clone(),
+        Rc::clone(&death_count),
+    );
     cluster.spawn(async move { seen.set(membership.self_was_declared_dead(0).await) });
     cluster.freeze(1);
     let known = cluster.advance_until(5_000, |c| {
         let others = (0..count).filter(|index| *index != 1);
         let mut records = others.filter_map(|index| c.record(index, &cluster::vm(1)));
-        records.any(|record| record.state == heard)
+        records.any(|record| record.state == known_state)
     });
     assert!(known.is_some());
     cluster.advance(100);
@@ -66,7 +69,11 @@
     cluster.thaw(1);
     cluster.advance(100);
     cluster.network.isolate([]);
-    assert!(cluster.advance_until(500, |_| told.get() > 0).is_some());
+    assert!(
+        cluster
+            .advance_until(500, |_| death_count.get() > 0)
+            .is_some()
+    );
     assert!(
         cluster
             .advance_until(3_000, |c| c.all_see(count, None))
@@ -114,14 +121,14 @@
 // daemon 5 thaws, its wait is over and it still holds the suspicion: hearsay that counted by
 // time alone would kill a healthy daemon.
 #[test]
-fn old_hearsay_kills_nobody() {
+fn outdated_suspicion_kills_no_live_member() {
     let mut cluster = Cluster::new(9);
     cluster.freeze(4);
-    let heard = cluster.advance_until(3_000, |c| {
+    let suspected = cluster.advance_until(3_000, |c| {
         c.record(5, &cluster::vm(4))
             .is_some_and(|m| m.state == State::Suspect)
     });
-    assert!(heard.is_some());
+    assert!(suspected.is_some());
     cluster.freeze(5);
     cluster.network.isolate([cluster::address(5)]);
     cluster.thaw(4);
@@ -136,7 +143,7 @@
 // A rack fails: three daemons die together, and with them perhaps the one that was about to
 // declare another dead.
 #[test]
-fn three_killed_together_are_all_known() {
+fn simultaneous_deaths_are_all_detected() {
     let mut cluster = Cluster::new(9);
     for victim in [1, 2, 3] {
         cluster.kill(victim);
@@ -151,7 +158,7 @@
 // A vm is replaced by one with another name at the same address. The old name answers no more;
 // as long as it is thought live, duties and grants go to it and are lost.
 #[test]
-fn replaced_vm_at_the_same_address_ends_the_old_name() {
+fn replacement_at_same_address_marks_old_vm_dead() {
     let mut cluster = Cluster::new(9);
     cluster.kill(5);
     let successor = cluster.start("vm-new".to_owned(), 5, 2_000);
@@ -205,8 +212,8 @@
 }
 
 lossy! {
-    lossy_wire_among_3_drops_nobody: 3;
-    lossy_wire_among_9_drops_nobody: 9;
+    packet_loss_among_3_drops_no_live_member: 3;
+    packet_loss_among_9_drops_no_live_member: 9;
 }
 
 // A switch cuts three daemons off, and each side declares the other dead. When it heals, nobody
@@ -215,9 +222,9 @@
 fn partition_heals() {
     let mut cluster = Cluster::new(9);
     cluster.network.isolate((0..3).map(cluster::address));
-    let parted =
+    let partitioned =
         |c: &Cluster| (0..3).all(|i| c.live(i).len() == 3) && (3..9).all(|i| c.live(i).len() == 6);
-    assert!(cluster.advance_until(5_000, parted).is_some());
+    assert!(cluster.advance_until(5_000, partitioned).is_some());
     cluster.advance(60_000);
     cluster.network.isolate([]);
     assert!(
@@ -247,7 +254,7 @@
 // A daemon that leaves ends at once after the announcement: each of the others has to know it by
 // then, since nobody is left to repeat it.
 #[test]
-fn leaving_and_gone_is_known() {
+fn exit_after_leaving_is_known_to_all() {
     let mut cluster = Cluster::new(64);
     let left = Rc::new(Cell::new(false));
     let (membership, done) = (cluster.daemons[2].membership.clone(), Rc::clone(&left));
--- a/crates/lilaccrank/tests/suite/timeline.rs
+++ b/crates/lilaccrank/tests/suite/timeline.rs
@@ -6,13 +6,13 @@
 use lilaccrank::timeline::{self, Event, EventKind, Query, Stamp, Subject, Timeline};
 use quickcheck::TestResult;
 
-fn line(vm: &str, limit: usize) -> (PausedClock, Timeline<PausedClock>) {
+fn new_timeline(vm: &str, limit: usize) -> (PausedClock, Timeline<PausedClock>) {
     let clock = PausedClock::new();
     let line = Timeline::new(clock.clone(), vm.to_owned(), limit);
     (clock, line)
 }
 
-fn about(request: &str) -> Subject {
+fn request_subject(request: &str) -> Subject {
     Subject {
         request: Some(request.to_owned()),
         ..Subject::default()
@@ -23,12 +23,12 @@
 fn effect_follows_its_cause_over_a_lagging_clock() {
     // Daemon b's wall clock is ten minutes behind a's. a dispatches and tells b, which ends the
     // request. By wall time alone the end would be listed before its cause.
-    let (clock, a) = line("a", 10);
+    let (clock, a) = new_timeline("a", 10);
     clock.advance(Duration::from_secs(600));
-    let (_, b) = line("b", 10);
-    let sent = a.record(EventKind::Dispatched, about("r"));
+    let (_, b) = new_timeline("b", 10);
+    let sent = a.record(EventKind::Dispatched, request_subject("r"));
     b.observe(&sent);
-    b.record(EventKind::Ended, about("r"));
+    b.record(EventKind::Ended, request_subject("r"));
     let all = Query::default();
     let merged = timeline::merge([b.query(&all), a.query(&all)]);
     let kinds: Vec<EventKind> = merged.into_iter().map(|event| event.kind).collect();
@@ -37,10 +37,10 @@
 
 #[test]
 fn ring_keeps_the_newest_and_counts_the_rest() {
-    let (clock, line) = line("a", 2);
+    let (clock, line) = new_timeline("a", 2);
     for request in ["1", "2", "3"] {
         clock.advance(Duration::from_millis(10));
-        line.record(EventKind::Asked, about(request));
+        line.record(EventKind::Asked, request_subject(request));
     }
     let kept = line.query(&Query::default());
     let requests: Vec<_> = kept
@@ -56,10 +56,10 @@
     ($name:ident, $query:expr, $expected:expr) => {
         #[test]
         fn $name() {
-            let (clock, line) = line("a", 10);
+            let (clock, line) = new_timeline("a", 10);
             for request in ["1", "2", "3"] {
                 clock.advance(Duration::from_millis(10));
-                line.record(EventKind::Asked, about(request));
+                line.record(EventKind::Asked, request_subject(request));
             }
             let query: Query = serde_json::from_str($query).unwrap();
             let found = line.query(&query);
@@ -69,15 +69,15 @@
     };
 }
 
-query!(by_nothing, "{}", [10, 20, 30]);
+query!(without_conditions, "{}", [10, 20, 30]);
 query!(by_request, r#"{"request": "2"}"#, [20]);
 query!(by_target, r#"{"target": "t"}"#, [0_u64; 0]);
 query!(by_time, r#"{"from_ms": 10, "until_ms": 30}"#, [10, 20]);
 
 #[test]
 fn events_read_back_from_json() {
-    let (_, line) = line("a", 10);
-    line.record(EventKind::TakenOver, about("r"));
+    let (_, line) = new_timeline("a", 10);
+    line.record(EventKind::TakenOver, request_subject("r"));
     let events = line.query(&Query::default());
     let json = serde_json::to_string(&events).unwrap();
     assert!(json.contains(r#""kind":"taken_over""#));
