--- a/crates/lilaccrankd/src/admin/publication.rs
+++ b/crates/lilaccrankd/src/admin/publication.rs
@@ -1,5 +1,5 @@
-//! Publishing for an operator: takes over the newest, writes, and answers only when what was
-//! written stays in force.
+//! Publishes a configuration for an operator: adopts the newest configuration first, writes the new
+//! one, and replies once it is certain to stay in force.
 
 use std::time::{Duration, Instant};
 
@@ -18,21 +18,21 @@
 use super::reports::Reports;
 use crate::daemon::Daemon;
 
-/// Time to take over the newest configuration of the live daemons. After a store came back
-/// older, a watcher settles within seconds which one that is.
+/// Timeout for adopting the newest configuration of the live daemons. After a store was restored to
+/// an older state, a watcher resolves within seconds which one is the newest.
 const SETTLE_LIMIT: Duration = Duration::from_secs(5);
-/// Time to write.
+/// Timeout for writing the publication.
 const WRITE_LIMIT: Duration = Duration::from_secs(5);
-/// Time until the publication is known to stay.
+/// Timeout for confirming that the publication stays in force.
 const CONFIRM_LIMIT: Duration = Duration::from_secs(5);
-/// Time between two looks.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// Interval between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Publishes what `author` sent.
+/// Publishes the document that `author` sent.
 ///
 /// # Errors
 ///
-/// If it is not accepted, or it is not known whether it is.
+/// If the publication is rejected, or its outcome is unknown.
 pub async fn publish(daemon: &Daemon, author: String, req: PublishRequest) -> Result<Published> {
     let document =
         reading::read_value(&req.document).map_err(|problems| Failure::Invalid { problems })?;
@@ -67,23 +67,24 @@
     })
 }
 
-/// Takes over the newest configuration of the live daemons, so that a store that came back
-/// older can't give out a generation again.
+/// Adopts the newest configuration of the live daemons, so that a store restored to an older state
+/// can't assign the same generation twice.
 async fn settle(daemon: &Daemon) -> Result<()> {
     let until = MonoioClock.now() + SETTLE_LIMIT;
     loop {
         let reports = Reports::gather(daemon).await;
-        let taken = exchange::take_newest(&daemon.peers, &reports.heard, &daemon.adoption).await;
+        let taken = exchange::take_newest(&daemon.peers, &reports.received, &daemon.adoption).await;
         let Err(e) = taken else { return Ok(()) };
-        if over(until) {
+        if is_past(until) {
             let message = e.to_string();
             return Err(Failure::Unsettled { message }.into());
         }
-        MonoioClock.sleep(LOOK_AGAIN).await;
+        MonoioClock.sleep(RETRY_INTERVAL).await;
     }
 }
 
-/// Waits until the publication stays in force; returns the members that were not heard.
+/// Waits until the publication is certain to stay in force; returns the members that did not
+/// respond.
 async fn confirm(daemon: &Daemon, identity: &Identity) -> Result<Vec<VmId>> {
     let until = MonoioClock.now() + CONFIRM_LIMIT;
     let unresolved = || Failure::Unresolved {
@@ -93,16 +94,16 @@
         let reports = Reports::gather(daemon).await;
         let left = until.saturating_duration_since(MonoioClock.now());
         let archive = Archive::new(&daemon.store, &MonoioClock, left);
-        let looked = publish::confirm(&archive, identity, &reports.held()).await;
-        match looked.map_err(|_| unresolved())? {
+        let confirmation = publish::confirm(&archive, identity, &reports.held()).await;
+        match confirmation.map_err(|_| unresolved())? {
             Confirmation::Displaced { by } => return Err(Failure::Displaced { by }.into()),
-            Confirmation::InForce => return Ok(reports.unheard),
-            Confirmation::Pending if over(until) => return Err(unresolved().into()),
-            Confirmation::Pending => MonoioClock.sleep(LOOK_AGAIN).await,
+            Confirmation::InForce => return Ok(reports.unresponsive),
+            Confirmation::Pending if is_past(until) => return Err(unresolved().into()),
+            Confirmation::Pending => MonoioClock.sleep(RETRY_INTERVAL).await,
         }
     }
 }
 
-fn over(until: Instant) -> bool {
+fn is_past(until: Instant) -> bool {
     MonoioClock.now() >= until
 }
--- a/crates/lilaccrankd/src/admin/reports.rs
+++ b/crates/lilaccrankd/src/admin/reports.rs
@@ -1,4 +1,4 @@
-//! What the live daemons of the data centre hold.
+//! Collects which configuration each live daemon of the data centre holds.
 
 use std::time::Duration;
 
@@ -13,44 +13,47 @@
 use crate::daemon::Daemon;
 use crate::peers::message::{HeldConfiguration, HeldConfigurationRequest};
 
-/// Time for one member to tell. A silent one is on its way to be declared dead, and an
-/// operator's publication does not wait for that.
-const ASK_LIMIT: Duration = Duration::from_secs(2);
+/// Timeout for a member's report. An operator's publication does not wait until an unresponsive
+/// member is declared dead.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The reports of all live members, this daemon's own among them.
+/// Reports of all live members, including this daemon.
 pub struct Reports {
-    /// Who told.
-    pub heard: Vec<Report>,
-    /// Who did not.
-    pub unheard: Vec<VmId>,
+    /// Reports received.
+    pub received: Vec<Report>,
+    /// Members that failed to report in time.
+    pub unresponsive: Vec<VmId>,
 }
 
 impl Reports {
-    /// Asks all live members at once.
+    /// Queries all live members concurrently.
     pub async fn gather(daemon: &Daemon) -> Self {
         let live = daemon.membership.live();
         let asked = live.members.iter().map(|member| ask(daemon, &member.vm));
         let mut reports = Self {
-            heard: Vec::new(),
-            unheard: Vec::new(),
+            received: Vec::new(),
+            unresponsive: Vec::new(),
         };
         for answer in future::join_all(asked).await {
             match answer {
-                Ok(report) => reports.heard.push(report),
-                Err(vm) => reports.unheard.push(vm),
+                Ok(report) => reports.received.push(report),
+                Err(vm) => reports.unresponsive.push(vm),
             }
         }
         reports
     }
 
-    /// The configurations held.
+    /// Returns the identities of the configurations held.
     pub fn held(&self) -> Vec<Identity> {
-        let held = self.heard.iter().filter_map(|report| report.held.clone());
+        let held = self
+            .received
+            .iter()
+            .filter_map(|report| report.held.clone());
         held.collect()
     }
 }
 
-/// The member's report, or its name if it does not tell in time.
+/// Returns the member's report, or its VM as the error if it fails to report in time.
 async fn ask(daemon: &Daemon, vm: &VmId) -> Result<Report, VmId> {
     if *vm == daemon.cfg.vm {
         return Ok(Report {
@@ -59,7 +62,7 @@
         });
     }
     let asking = daemon.peers.call(vm, HeldConfigurationRequest);
-    match clock::timeout(&MonoioClock, ASK_LIMIT, asking).await {
+    match clock::timeout(&MonoioClock, REPORT_TIMEOUT, asking).await {
         Some(Ok(HeldConfiguration { identity })) => Ok(Report {
             held: identity,
             vm: vm.clone(),
--- a/crates/lilaccrankd/src/configuration.rs
+++ b/crates/lilaccrankd/src/configuration.rs
@@ -1,5 +1,5 @@
-//! Keeps this daemon's configuration up to date: two daemons of a data centre watch the store,
-//! the others hear of it from each other.
+//! Keeps the configuration up to date: the watchers of a data centre (two by default) follow the
+//! platform's store, and the other daemons learn of changes from their peers.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,86 +16,87 @@
 use lilaccrank_http::monoio_clock::MonoioClock;
 use rand::seq::{IndexedRandom, IteratorRandom};
 
-use crate::configuration::source::Intake;
+use crate::configuration::source::UpdateHandler;
 use crate::daemon::Daemon;
 use crate::peers::message::{Announcement, Done};
 
 pub mod feed;
-pub mod heard;
 pub mod in_force;
-pub mod own_source;
+pub mod native_source;
+pub mod platform_contact;
 pub mod source;
 
-/// Members told at once of a new configuration; each of them tells as many.
+/// Number of members that each daemon announces a new configuration to.
 const FANOUT: usize = 3;
-/// Time between two comparisons with another daemon. A rumour may miss some; with this they
-/// catch up well within the four seconds in which a change is to be in force.
+/// Interval between two anti-entropy exchanges with another daemon. Announcements may miss some
+/// members; the exchange brings them up to date within the four seconds that a change may take.
 const COMPARE_EVERY: Duration = Duration::from_secs(1);
-/// Silence of the platform after which a daemon asks it itself. A watcher is answered every eight
-/// tenths of a second, and a question to it comes every three tenths at most; a change has to be
-/// in force after two seconds.
+/// Age of the last contact with the platform at which a daemon queries it itself. The platform
+/// answers a watcher after 800 ms at most, members poll a watcher at least every 300 ms, and a
+/// change has to be in force after two seconds.
 const STALE_AFTER: Duration = Duration::from_millis(1_400);
-/// For each member, the time over which those that have heard nothing spread their questions:
-/// with seven members four of them ask within a tenth of a second.
-const STALE_SPREAD: Duration = Duration::from_millis(20);
-/// That time at most. What a few learn takes a second or two to reach all of a large fleet, and a
-/// target that leaves may get nothing new after three: over 71 members the spread alone would be 1.4
-/// seconds, on top of the 1.75 until the silence is seen.
-const STALE_SPREAD_MOST: Duration = Duration::from_millis(400);
-
-/// Follows the configuration for as long as the daemon runs.
+/// Maximum jitter per member before a daemon without a recent contact queries the platform. With
+/// seven members, four of them query it within 100 ms.
+const STALE_JITTER_PER_MEMBER: Duration = Duration::from_millis(20);
+/// Upper bound of the jitter. News takes a second or two to reach all of a large fleet, and a
+/// leaving target may get no new requests after three seconds. Without the bound, 71 members would
+/// spread over 1.4 s, in addition to the 1.75 s until a stale contact is noticed.
+const STALE_JITTER_MAX: Duration = Duration::from_millis(400);
+
+/// Keeps the configuration up to date for as long as the daemon runs.
 pub async fn run(daemon: Rc<Daemon>) {
-    let watching = watch_while_on_duty(&daemon);
+    let watching = watch_while_needed(&daemon);
     let comparing = compare(&daemon);
-    let hearing = feed::follow(&daemon);
-    let spreading = put_in_force(&daemon);
-    pin_mut!(watching, comparing, hearing, spreading);
-    future::join4(watching, comparing, hearing, spreading).await;
+    let polling = feed::follow(&daemon);
+    let applying = put_in_force(&daemon);
+    pin_mut!(watching, comparing, polling, applying);
+    future::join4(watching, comparing, polling, applying).await;
 }
 
-/// Takes in that another daemon has a new configuration.
-pub fn announced(daemon: &Rc<Daemon>, announcement: Announcement) -> Done {
+/// Handles a peer's announcement; pulls the configuration if it is newer.
+pub fn handle_announcement(daemon: &Rc<Daemon>, announcement: Announcement) -> Done {
     if daemon.adoption.wants(&announcement.identity) {
         let daemon = Rc::clone(daemon);
-        monoio::spawn(async move { take(&daemon, &announcement.vm).await });
+        monoio::spawn(async move { pull_configuration(&daemon, &announcement.vm).await });
     }
     Done
 }
 
-/// Follows the platform while that is this daemon's duty, or while nobody else can.
-async fn watch_while_on_duty(daemon: &Rc<Daemon>) {
+/// Follows the platform while this daemon is a watcher or no watcher has a recent contact.
+async fn watch_while_needed(daemon: &Rc<Daemon>) {
     loop {
-        needed(daemon).await;
-        let watching = daemon.ports.source.follow(Intake::new(daemon));
-        let relieved = relieved(daemon);
-        pin_mut!(watching, relieved);
-        future::select(watching, relieved).await;
+        until_needed(daemon).await;
+        let watching = daemon.ports.source.follow(UpdateHandler::new(daemon));
+        let until_relieved = until_relieved(daemon);
+        pin_mut!(watching, until_relieved);
+        future::select(watching, until_relieved).await;
     }
 }
 
 /// Completes once this daemon has to follow the platform itself.
-async fn needed(daemon: &Daemon) {
+async fn until_needed(daemon: &Daemon) {
     while !daemon.duties.is_watcher() {
         let version = daemon.membership.live().version;
         let changed = daemon.membership.changed(version);
-        let stale = stale(daemon);
-        pin_mut!(changed, stale);
-        if let Either::Right(_) = future::select(changed, stale).await {
-            let age = daemon.heard.age(MonoioClock.boot_time());
+        let until_stale = until_stale(daemon);
+        pin_mut!(changed, until_stale);
+        if let Either::Right(_) = future::select(changed, until_stale).await {
+            let age = daemon.platform_contact.age(MonoioClock.boot_time());
             log::warn!(
                 heard_ms_ago = age.map_or(-1, |age| age.as_millis() as i64);
-                "no watcher tells anything new: this daemon asks the platform itself"
+                "no recent contact with the platform through peers: following the platform directly"
             );
             return;
         }
     }
 }
 
-/// Completes once the watchers have been silent, or cut off from the platform, for too long.
+/// Completes once the last contact with the platform is too old; never without a configuration
+/// lease.
 ///
-/// The platform may turn away just the daemons that watch. Each other daemon then waits for a
-/// time of its own, so that a few of them ask first and tell the rest.
-async fn stale(daemon: &Daemon) {
+/// The platform may reject only the watchers. The other daemons then wait for a random time each,
+/// so that a few of them query the platform first and pass the result on.
+async fn until_stale(daemon: &Daemon) {
     if daemon.cfg.configuration_lease_ms == 0 {
         return future::pending().await;
     }
@@ -105,27 +106,29 @@
             continue;
         }
         let members = daemon.membership.live().members.len();
-        let spread = backoff::full_jitter(stale_spread(members));
-        monoio::time::sleep(spread).await;
+        let jitter = backoff::full_jitter(stale_jitter(members));
+        monoio::time::sleep(jitter).await;
         if is_stale(daemon) {
             return;
         }
     }
 }
 
-/// Time over which the members that have heard nothing spread their questions to the platform.
+/// Returns the maximum jitter before a member without a recent contact queries the platform.
 #[must_use]
-pub fn stale_spread(members: usize) -> Duration {
+pub fn stale_jitter(members: usize) -> Duration {
     let members = u32::try_from(members).unwrap_or(u32::MAX);
-    STALE_SPREAD.saturating_mul(members).min(STALE_SPREAD_MOST)
+    STALE_JITTER_PER_MEMBER
+        .saturating_mul(members)
+        .min(STALE_JITTER_MAX)
 }
 
-/// Completes once the watch is another member's duty and, where knowledge has to be fresh, that
-/// member tells what it learns.
-async fn relieved(daemon: &Daemon) {
+/// Completes once this daemon is no watcher and, if configurations have a lease, a watcher has a
+/// recent contact with the platform.
+async fn until_relieved(daemon: &Daemon) {
     loop {
         let version = daemon.membership.live().version;
-        if !daemon.duties.is_watcher() && is_told(daemon) {
+        if !daemon.duties.is_watcher() && has_fresh_watcher(daemon) {
             return;
         }
         let changed = daemon.membership.changed(version);
@@ -134,14 +137,14 @@
 }
 
 fn is_stale(daemon: &Daemon) -> bool {
-    let heard = daemon.heard.age(MonoioClock.boot_time());
-    heard.is_none_or(|age| age >= STALE_AFTER)
+    let contact_age = daemon.platform_contact.age(MonoioClock.boot_time());
+    contact_age.is_none_or(|age| age >= STALE_AFTER)
 }
 
-/// Whether a watcher hears the platform, and has told so of late.
-fn is_told(daemon: &Daemon) -> bool {
-    let heard = daemon.heard.watcher_age(MonoioClock.boot_time());
-    daemon.cfg.configuration_lease_ms == 0 || heard.is_some_and(|age| age < STALE_AFTER)
+/// Returns `true` if a watcher reported a recent contact of its own, or none is required.
+fn has_fresh_watcher(daemon: &Daemon) -> bool {
+    let contact_age = daemon.platform_contact.watcher_age(MonoioClock.boot_time());
+    daemon.cfg.configuration_lease_ms == 0 || contact_age.is_some_and(|age| age < STALE_AFTER)
 }
 
 async fn put_in_force(daemon: &Rc<Daemon>) {
@@ -166,16 +169,16 @@
         };
         let (peers, vm) = (daemon.peers.clone(), member.vm.clone());
         monoio::spawn(async move {
-            let told: lilaccrank::peers::Result<Done> = peers.call(&vm, announcement).await;
-            if let Err(e) = told {
-                log::debug!("a new configuration could not be announced: {e}");
+            let result: lilaccrank::peers::Result<Done> = peers.call(&vm, announcement).await;
+            if let Err(e) = result {
+                log::debug!("failed to announce a new configuration: {e}");
             }
         });
     }
 }
 
-/// Compares with one other member a second, and as a watcher with another data centre too: what
-/// the store can't tell while it is away, a peer can.
+/// Exchanges configurations with a random member at each interval. A watcher also asks a daemon of
+/// another data centre, which may have a newer one while the store is unavailable.
 async fn compare(daemon: &Rc<Daemon>) {
     loop {
         monoio::time::sleep(COMPARE_EVERY).await;
@@ -183,32 +186,33 @@
         let live = daemon.membership.live();
         let others = live.members.iter().filter(|member| member.vm != me.vm);
         if let Some(member) = others.choose(&mut rand::rng()) {
-            take(daemon, &member.vm).await;
+            pull_configuration(daemon, &member.vm).await;
         }
         if daemon.duties.is_watcher()
-            && let Some(vm) = in_other_data_centre(daemon)
+            && let Some(vm) = random_remote_daemon(daemon)
         {
-            take(daemon, &vm).await;
+            pull_configuration(daemon, &vm).await;
         }
     }
 }
 
-/// Some daemon of another data centre, by its peer address.
-fn in_other_data_centre(daemon: &Daemon) -> Option<VmId> {
+/// Picks a random daemon of another data centre; returns its peer address.
+fn random_remote_daemon(daemon: &Daemon) -> Option<VmId> {
     let others = daemon.cfg.other_data_centres.values();
     let daemons = others.choose(&mut rand::rng())?;
     let daemon = daemons.choose(&mut rand::rng())?;
     Some(daemon.peer.to_string())
 }
 
-pub(crate) async fn take(daemon: &Daemon, vm: &VmId) {
+/// Adopts the configuration of the daemon on `vm` if it is newer.
+pub(crate) async fn pull_configuration(daemon: &Daemon, vm: &VmId) {
     let before = daemon.adoption.identity();
     match exchange::take_from(&daemon.peers, vm, &daemon.adoption).await {
         Ok(now) if standing(before.as_ref(), now.as_ref()) == Some(Standing::Newer) => {
-            log::info!("took a newer configuration from {vm}");
+            log::info!("adopted a newer configuration from {vm}");
         }
         Ok(_) => {}
-        Err(e) => log::debug!("no configuration from {vm}: {e}"),
+        Err(e) => log::debug!("failed to get the configuration of {vm}: {e}"),
     }
 }
 
--- a/crates/lilaccrankd/src/json_logger.rs
+++ b/crates/lilaccrankd/src/json_logger.rs
@@ -1,11 +1,11 @@
-//! Logs as JSON lines on standard output, in simplelog's frame.
+//! Logs JSON lines to standard output.
 //!
-//! simplelog itself writes text whose messages could break a line of JSON; this is a
-//! [`SharedLogger`] beside its own, so that its levels and its combined logger still apply.
+//! simplelog's own loggers don't escape messages, which could break a line of JSON. This is a
+//! [`SharedLogger`], so that simplelog's levels and combined logger still apply.
 //!
-//! The volume is bounded twice, and what is left out is counted and told: by rate, so that a
-//! burst of requests costs no more than its share of the processor, and by a buffer before the
-//! output, so that a reader that takes nothing holds up no request.
+//! The volume is limited twice, and dropped lines are counted and reported: by a rate limit, so
+//! that logging a burst of requests can't use up the processor, and by a bounded buffer, so that a
+//! blocked reader of the output delays no request.
 
 use std::io::Write;
 use std::sync::Mutex;
@@ -21,21 +21,21 @@
 use time::OffsetDateTime;
 use time::format_description::well_known::Rfc3339;
 
-/// Lines a second. A daemon takes some fifty requests a second of four lines each.
+/// Sustained lines per second. A daemon handles about 50 requests per second with four lines each.
 const LINES_PER_S: f64 = 400.0;
-/// Lines that may come at once after a quiet time.
+/// Maximum burst of lines.
 const BURST: f64 = 2_000.0;
-/// Lines that wait for the output.
-const BUFFERED: usize = 4_096;
+/// Maximum number of lines buffered for the output.
+const BUFFER_LINES: usize = 4_096;
 
-/// Longest wait for the lines that are left at the end.
+/// Timeout for writing the remaining lines at exit.
 const FLUSH_LIMIT: Duration = Duration::from_millis(200);
 
-/// What the writing thread gets.
+/// Message to the writer thread.
 enum Message {
-    /// All lines before have been written once the sender is dropped.
+    /// Drops the sender once all earlier lines are written.
     Flush(SyncSender<()>),
-    /// A line.
+    /// A line to write.
     Line(String),
 }
 
@@ -43,28 +43,28 @@
 struct JsonLogger {
     level: LevelFilter,
     lines: SyncSender<Message>,
-    left_out: AtomicU64,
-    rate: Mutex<Rate>,
+    dropped: AtomicU64,
+    bucket: Mutex<TokenBucket>,
     vm: String,
 }
 
-/// A bucket of lines.
-struct Rate {
-    filled: Instant,
-    left: f64,
+/// Token bucket that limits the rate of lines.
+struct TokenBucket {
+    refilled: Instant,
+    tokens: f64,
 }
 
-/// Starts logging for the daemon on `vm`.
+/// Installs the logger of the daemon on `vm`.
 pub fn init(level: LevelFilter, vm: &str) {
-    let (tx, rx) = mpsc::sync_channel(BUFFERED);
+    let (tx, rx) = mpsc::sync_channel(BUFFER_LINES);
     thread::spawn(move || write_lines(&rx));
     let logger = JsonLogger {
         level,
         lines: tx,
-        left_out: AtomicU64::new(0),
-        rate: Mutex::new(Rate {
-            filled: Instant::now(),
-            left: BURST,
+        dropped: AtomicU64::new(0),
+        bucket: Mutex::new(TokenBucket {
+            refilled: Instant::now(),
+            tokens: BURST,
         }),
         vm: vm.to_owned(),
     };
@@ -72,7 +72,7 @@
     let _ = CombinedLogger::init(vec![Box::new(logger)]);
 }
 
-/// Writes what has gathered in one go; ends with the process.
+/// Writes buffered lines in batches until the process ends.
 fn write_lines(messages: &Receiver<Message>) {
     while let Ok(first) = messages.recv() {
         let mut text = String::new();
@@ -83,29 +83,30 @@
                 Message::Line(line) => text.push_str(&line),
             }
         }
-        // There is no other place to tell that the output is gone.
+        // There is no other place to report a failed write.
         let _ = std::io::stdout().lock().write_all(text.as_bytes());
     }
 }
 
-impl Rate {
-    fn take(&mut self, now: Instant) -> bool {
-        let since = now.saturating_duration_since(self.filled).as_secs_f64();
-        self.filled = now;
-        self.left = (self.left + since * LINES_PER_S).min(BURST);
-        let allowed = self.left >= 1.0;
+impl TokenBucket {
+    fn try_take(&mut self, now: Instant) -> bool {
+        let elapsed = now.saturating_duration_since(self.refilled).as_secs_f64();
+        self.refilled = now;
+        self.tokens = (self.tokens + elapsed * LINES_PER_S).min(BURST);
+        let allowed = self.tokens >= 1.0;
         if allowed {
-            self.left -= 1.0;
+            self.tokens -= 1.0;
         }
         allowed
     }
 }
 
 impl JsonLogger {
-    /// Errors and warnings are few and always pass.
+    /// Returns `true` if the rate limit allows a line. Errors and warnings are rare and always
+    /// allowed.
     fn may_write(&self, level: Level) -> bool {
-        let rate = self.rate.lock();
-        let allowed = rate.is_ok_and(|mut rate| rate.take(Instant::now()));
+        let bucket = self.bucket.lock();
+        let allowed = bucket.is_ok_and(|mut bucket| bucket.try_take(Instant::now()));
         allowed || level <= Level::Warn
     }
 
@@ -117,11 +118,11 @@
         fields.add("message", record.args().to_string().into());
         fields.add("module", record.target().into());
         fields.add("vm", self.vm.as_str().into());
-        let left_out = self.left_out.swap(0, Ordering::Relaxed);
-        if left_out > 0 {
-            fields.add("lines_left_out", left_out.into());
+        let dropped = self.dropped.swap(0, Ordering::Relaxed);
+        if dropped > 0 {
+            fields.add("lines_left_out", dropped.into());
         }
-        // A value that can't be shown costs its own field only.
+        // A value that can't be formatted loses only its own field.
         let _ = record.key_values().visit(&mut fields);
         let mut line = serde_json::Value::Object(fields.0).to_string();
         line.push('\n');
@@ -144,8 +145,8 @@
             number.into()
         } else if let Some(number) = value.to_f64() {
             number.into()
-        } else if let Some(truth) = value.to_bool() {
-            truth.into()
+        } else if let Some(flag) = value.to_bool() {
+            flag.into()
         } else {
             value.to_string().into()
         };
@@ -168,14 +169,14 @@
             self.lines.try_send(Message::Line(line)).is_ok()
         };
         if !written {
-            self.left_out.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
     fn flush(&self) {
         let (tx, rx) = mpsc::sync_channel(0);
         if self.lines.try_send(Message::Flush(tx)).is_ok() {
-            // The thread drops its end once all is written, or the wait is over.
+            // The thread drops the sender once all lines are written.
             let _ = rx.recv_timeout(FLUSH_LIMIT);
         }
     }
--- a/crates/lilaccrankd/src/orders/relay.rs
+++ b/crates/lilaccrankd/src/orders/relay.rs
@@ -16,7 +16,7 @@
 
 /// Submits an order and waits for its outcome, up to the longest time that an order may take.
 pub async fn submit(daemon: &Rc<Daemon>, mut req: OrderRequest) -> OrderOutcome {
-    let deadline = Instant::now() + daemon.order_keeper.timeouts.max_order_duration();
+    let deadline = Instant::now() + daemon.order_manager.timeouts.max_order_duration();
     // The daemon that may have started the order.
     let mut started_on: Option<MemberRef> = None;
     loop {
