--- a/crates/lilaccrank/src/membership.rs
+++ b/crates/lilaccrank/src/membership.rs
@@ -52,11 +52,14 @@
     shared: Rc<Shared>,
 }
 
-/// A request of the handle to the gossip task.
+/// A command sent to the gossip task.
 enum Command {
+    /// Probe this member at once; it may be down.
     ProbeHint(VmId),
     Leave(oneshot::Sender<()>),
+    /// Another member reported this one as suspect.
     ReportedSuspect(VmId),
+    /// A probe of this member by this daemon failed.
     Suspect(VmId),
 }
 
@@ -179,8 +182,8 @@
             .await
     }
 
-    /// Sets the seed addresses at which unknown members are looked for: those of the settings or
-    /// those of the platform's list, which lags behind.
+    /// Sets the seed addresses used to discover members. They come from the settings or from the
+    /// platform's list of VMs, which lags behind.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *self.shared.seeds.borrow_mut() = seeds;
     }
--- a/crates/lilaccrank/src/membership/gossip.rs
+++ b/crates/lilaccrank/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! The tasks of one member: it receives, probes, compares tables and watches suspects.
+//! The gossip task: receives messages, probes members, synchronises tables and watches suspects.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,10 +21,10 @@
 use crate::clock::Clock;
 use crate::ids::VmId;
 
-/// Seeds asked at once by a member that knows nobody.
+/// Number of seeds contacted immediately at start.
 const SEEDS_AT_START: usize = 3;
 
-/// The running part of a membership.
+/// The gossip task of one daemon; see [`Gossip::run`].
 pub struct Gossip<C, D> {
     commands: mpsc::UnboundedReceiver<Command>,
     node: Node<C, D>,
@@ -62,11 +62,11 @@
         Self { commands, node }
     }
 
-    /// Takes part in the gossip until dropped.
+    /// Runs the gossip protocol until the future is dropped.
     pub async fn run(self) {
         let node = &self.node;
         let commands = self.commands.map(|command| node.handle_command(command));
-        // One watch per member at most, so their number is bounded by the table.
+        // At most one watch runs per member, so the table bounds their number.
         let watches = commands.for_each_concurrent(None, |watch| watch);
         futures::join!(
             node.receive(),
@@ -83,7 +83,7 @@
             match self.datagrams.recv().await {
                 Ok(datagram) => self.handle_datagram(datagram).await,
                 Err(err) => {
-                    log::warn!("membership: {err}");
+                    log::warn!("membership: failed to receive a datagram: {err}");
                     self.clock.sleep(self.cfg.probe_timeout).await;
                 }
             }
@@ -94,14 +94,17 @@
         let message = match Message::decode(&datagram.bytes) {
             Ok(message) => message,
             Err(err) => {
-                log::debug!("membership: from {}: {err}", datagram.from);
+                log::debug!(
+                    "membership: ignored a datagram from {}: {err}",
+                    datagram.from
+                );
                 return;
             }
         };
         let mut priority = self.apply_reports(message.updates).await;
         if self.is_suspect_or_dead(&message.from) {
-            // A thawed daemon doesn't know that it was declared dead, and the others no longer
-            // probe it: it has to hear it in the answers to its own messages.
+            // A daemon that resumes after a freeze doesn't know that it was declared dead, and the
+            // others no longer probe it. It learns of it from the replies to its own messages.
             priority.push(message.from);
         }
         self.handle_body(datagram.from, message.body, &priority)
@@ -115,7 +118,8 @@
             .is_some_and(|member| matches!(member.state, State::Dead | State::Suspect))
     }
 
-    /// Takes in reports; returns the members whose record the sender has to hear.
+    /// Applies reports to the table. Returns the members whose current record the sender needs
+    /// because its own is out of date.
     async fn apply_reports(&self, reports: Vec<Member>) -> Vec<VmId> {
         let now = self.clock.now();
         let mut priority = Vec::new();
@@ -131,8 +135,9 @@
         priority
     }
 
-    /// A member that refuted an older suspicion looks live again before it heard of its death.
-    /// Unless told, it would keep the grants and duties that others took over.
+    /// Tells a member that it was declared dead. A member that refutes an older suspicion is
+    /// marked live again without having learned of its death, and would otherwise keep grants and
+    /// duties that others have taken over.
     async fn notify_declared_dead(&self, record: Member) {
         self.transmit(record.gossip, Body::Update, vec![record])
             .await;
@@ -177,7 +182,8 @@
         }
     }
 
-    /// Probes all others in turn, one per period, in an order shuffled anew for each round.
+    /// Probes one other member per period, in an order that is shuffled for each round. The first
+    /// probe is delayed by a random part of a period.
     async fn probe_all(&self) {
         let start = self.rng.borrow_mut().random::<f64>();
         self.clock.sleep(self.cfg.period.mul_f64(start)).await;
@@ -217,9 +223,9 @@
         table.others().map(|member| member.gossip).collect()
     }
 
-    /// Addresses of dead members and of seeds where no member is known. After a partition each
-    /// side takes the other for dead and no longer probes it: without these letters to the dead
-    /// the two would never meet again.
+    /// Returns the addresses of dead members and of seeds at which no member is known. After a
+    /// partition each side considers the other dead and no longer probes it, so the two sides only
+    /// merge again because digests are still sent to these addresses.
     fn reconnect_addresses(&self) -> Vec<SocketAddr> {
         let table = self.shared.table.borrow();
         let seeds = self.shared.seeds.borrow();
@@ -253,7 +259,8 @@
         self.shared.table.borrow().me().vm.clone()
     }
 
-    /// Sends this member's fingerprint and record, so that one who doesn't know it learns it.
+    /// Sends the digest of the table with this daemon's own record, so that a receiver that does
+    /// not know this daemon adds it.
     async fn send_digest(&self, to: SocketAddr) {
         let hash = self.digest();
         let me = self.my_vm();
@@ -270,14 +277,14 @@
         }
     }
 
-    /// Sends `body` with as many changes as fit, the records of `priority` before others.
+    /// Sends `body` with as many updates as fit, starting with the records of `priority`.
     pub(super) async fn send(&self, to: SocketAddr, body: Body, priority: &[VmId]) {
         let updates = self.shared.table.borrow_mut().take_updates(priority);
         self.transmit(to, body, updates).await;
     }
 
-    /// Sends one record to all others at once, where waiting for the gossip would cost work:
-    /// a member that leaves or died goes on being given duties until all know it.
+    /// Sends one record to all other members at once. Members keep assigning duties to a leaving
+    /// or dead one until they learn of it, and piggybacked updates would take longer to spread.
     pub(super) async fn announce(&self, member: &Member) {
         let addresses = self.known_addresses();
         stream::iter(addresses)
@@ -294,10 +301,10 @@
         };
         let sent = match message.encode() {
             Ok(bytes) => self.datagrams.send(to, bytes).await,
-            Err(err) => return log::error!("membership: {err}"),
+            Err(err) => return log::error!("membership: dropped a message to {to}: {err}"),
         };
         if let Err(err) = sent {
-            log::debug!("membership: to {to}: {err}");
+            log::debug!("membership: failed to send a datagram to {to}: {err}");
         }
     }
 }
--- a/crates/lilaccrank/src/membership/member.rs
+++ b/crates/lilaccrank/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! What the members know of each other.
+//! Member records and the rule by which one replaces another.
 
 use std::net::SocketAddr;
 
@@ -7,55 +7,57 @@
 
 use crate::ids::{DataCentre, Incarnation, VmId};
 
-/// One daemon, as it announced itself or as others see it.
+/// Record of one daemon, as announced by itself or reported by another member.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
-    /// Where operators reach it.
+    /// Address of the admin interface.
     pub admin: SocketAddr,
-    /// Where it runs.
+    /// Data centre it runs in.
     pub data_centre: DataCentre,
-    /// Where it takes gossip datagrams.
+    /// Address for gossip datagrams.
     pub gossip: SocketAddr,
-    /// Start time of the daemon in milliseconds, raised whenever it refutes a report about it.
+    /// Start time of the daemon in milliseconds; increased whenever it refutes a report about
+    /// itself.
     pub incarnation: Incarnation,
-    /// Where it takes calls of its peers.
+    /// Address for calls from peers.
     pub peers: SocketAddr,
-    /// How it is.
+    /// State of the daemon.
     pub state: State,
-    /// The vm it runs on.
+    /// VM it runs on.
     pub vm: VmId,
 }
 
-/// How a member is. Of two reports with one incarnation, the later in this order wins.
+/// State of a member. Of two reports with the same incarnation, the greater state wins, in the
+/// order of declaration.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum State {
-    /// It answers.
+    /// Answers probes.
     #[display("live")]
     #[serde(rename = "l")]
     Live,
-    /// It did not answer, and has not yet refuted that.
+    /// Failed to answer probes and has not refuted the suspicion yet.
     #[display("suspect")]
     #[serde(rename = "s")]
     Suspect,
-    /// It announced that it takes no new work.
+    /// Announced that it takes no new work.
     #[display("leaving")]
     #[serde(rename = "e")]
     Leaving,
-    /// It did not answer for the whole time of suspicion, or another took its address.
+    /// Failed to refute the suspicion in time, or was replaced by another VM at its address.
     #[display("dead")]
     #[serde(rename = "d")]
     Dead,
 }
 
 impl Member {
-    /// Whether this report replaces `other`, a report about the same vm.
+    /// Returns `true` if this report replaces `other`, a report about the same VM.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.incarnation, self.state) > (other.incarnation, other.state)
     }
 
-    /// Whether it may own duties. A suspect keeps them: most suspicions are refuted, and moving
-    /// duties to and fro costs more than a short wait.
+    /// Returns `true` if the member may own duties. A suspect keeps its duties because most
+    /// suspicions are refuted, and moving duties back and forth costs more than a short wait.
     #[must_use]
     pub fn can_own_duties(&self) -> bool {
         matches!(self.state, State::Live | State::Suspect)
--- a/crates/lilaccrank/src/membership/message.rs
+++ b/crates/lilaccrank/src/membership/message.rs
@@ -1,4 +1,4 @@
-//! The datagrams between members, in MessagePack.
+//! Gossip messages and their MessagePack encoding.
 
 use std::net::SocketAddr;
 
@@ -11,27 +11,27 @@
 /// Result of encoding or decoding.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Largest datagram in bytes, so that none is fragmented on the way.
+/// Largest datagram in bytes; small enough to avoid IP fragmentation.
 pub const DATAGRAM_LIMIT: usize = 1_200;
 
-/// Bytes left free for all but the updates: the sender's name, the body and the framing.
+/// Bytes reserved for everything except the updates: the sender's name, the body and the framing.
 const BODY_RESERVE: usize = 200;
 
-/// Why a datagram can't be read or written.
+/// Error of encoding or decoding a message.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The bytes are no message of this version.
+    /// The bytes are not a message of this version.
     #[error("not a gossip message: {0}")]
     Decode(#[from] rmp_serde::decode::Error),
-    /// The message can't be written.
-    #[error("message can't be encoded: {0}")]
+    /// The message could not be encoded.
+    #[error("failed to encode gossip message: {0}")]
     Encode(#[from] rmp_serde::encode::Error),
-    /// The message is over [`DATAGRAM_LIMIT`].
-    #[error("message of {0} bytes is too large")]
+    /// The message, of this many bytes, exceeds [`DATAGRAM_LIMIT`].
+    #[error("gossip message of {0} bytes exceeds the datagram limit")]
     TooLarge(usize),
 }
 
-/// One datagram.
+/// Content of one datagram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) struct Message {
     pub(super) body: Body,
@@ -41,26 +41,26 @@
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) enum Body {
-    /// Answer to a ping, sent on by helpers.
+    /// Answer to a ping; helpers forward it to the requester.
     #[serde(rename = "a")]
     Ack { seq: u64 },
-    /// Fingerprint of the sender's table; who has another one sends its table.
+    /// Digest of the sender's table. A receiver with a different digest replies with its table.
     #[serde(rename = "d")]
     Digest { hash: u64 },
-    /// Asks a helper to ping the target and to pass its answer on.
+    /// Asks a helper to ping the target and to forward the answer.
     #[serde(rename = "i")]
     IndirectPing {
         address: SocketAddr,
         seq: u64,
         target: VmId,
     },
-    /// Asks the target to answer; any other vm at this address stays silent.
+    /// Asks the target to answer; any other VM at this address ignores it.
     #[serde(rename = "p")]
     Ping { seq: u64, target: VmId },
-    /// A part of the sender's table, in the updates.
+    /// Part of the sender's table, carried in the updates.
     #[serde(rename = "t")]
     Table { reply_wanted: bool },
-    /// Nothing but the updates.
+    /// Carries only updates.
     #[serde(rename = "u")]
     Update,
 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// Counts the updates into one datagram until it is full.
+/// Bytes still available for updates in one datagram.
 pub(super) struct DatagramBudget(usize);
 
 impl DatagramBudget {
@@ -87,7 +87,8 @@
         Self(DATAGRAM_LIMIT - BODY_RESERVE)
     }
 
-    /// Takes the room that `member` needs; false if there is not enough.
+    /// Reserves the encoded size of `member`. Returns `false` and reserves nothing if it doesn't
+    /// fit.
     pub(super) fn reserve(&mut self, member: &Member) -> bool {
         let size = rmp_serde::to_vec(member).map_or(usize::MAX, |bytes| bytes.len());
         let fits = size <= self.0;
--- a/crates/lilaccrank/src/membership/probe.rs
+++ b/crates/lilaccrank/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probing: one member at a time, directly and then through helpers.
+//! Failure detection: probes one member at a time, first directly and then also through helpers.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -15,16 +15,17 @@
 use crate::clock::{self, Clock};
 use crate::ids::VmId;
 
-/// How long an answer to a ping is waited for before its record is dropped.
+/// Time after which a pending ping is removed if no answer arrived.
 const PENDING_TTL: Duration = Duration::from_secs(2);
 
-/// Who waits for the answer to a ping.
+/// Receiver of the answer to a ping: a probe of this daemon, or the member that asked for an
+/// indirect ping with its own sequence number.
 pub(super) enum Pending {
     Own(oneshot::Sender<()>),
     Relayed { requester: SocketAddr, seq: u64 },
 }
 
-/// Pings under way and the order of the current round.
+/// Pings in progress and the members that are still to be probed in this round.
 #[derive(Default)]
 pub(super) struct Probes {
     next_seq: u64,
@@ -50,7 +51,7 @@
 }
 
 impl<C: Clock, D: Datagrams> Node<C, D> {
-    /// Probes the next member of the round and reports it if it does not answer.
+    /// Probes the next member of the round and suspects it if it does not answer.
     pub(super) async fn probe_next(&self) {
         let Some(vm) = self.next_in_round() else {
             return;
@@ -75,7 +76,7 @@
         None
     }
 
-    /// Probes one member once; whether it answered.
+    /// Probes one member once. Returns `true` if it answered.
     pub(super) async fn probe(&self, vm: &str) -> bool {
         let Some(member) = self.shared.table.borrow().get(vm).cloned() else {
             return false;
@@ -91,7 +92,7 @@
         if let Some(answer) = clock::timeout(&self.clock, limit, &mut rx).await {
             return answer.is_ok();
         }
-        // The direct way once more as well: with two or three members there are few helpers.
+        // Also pings directly again, since with two or three members there are few helpers.
         self.send(member.gossip, body, &records_to_refute(&member))
             .await;
         for helper in self.helpers(&member.vm) {
@@ -122,7 +123,8 @@
     }
 }
 
-/// A suspect has to hear of the suspicion, or it can't refute it.
+/// Returns the VMs whose records go first in a ping to `member`: its own if it is suspect or
+/// dead, since it can only refute a report that it receives.
 fn records_to_refute(member: &Member) -> Vec<VmId> {
     match member.state {
         State::Dead | State::Suspect => vec![member.vm.clone()],
--- a/crates/lilaccrank/src/membership/settings.rs
+++ b/crates/lilaccrank/src/membership/settings.rs
@@ -1,21 +1,22 @@
-//! Times and counts of the membership protocol.
+//! Settings of the membership protocol.
 
 use std::time::Duration;
 
-/// Times and counts of the membership protocol. The defaults declare a killed daemon dead within
-/// two to three seconds for up to about a hundred members, at under 2 KB/s for each.
+/// Settings of the membership protocol. With the defaults, a killed daemon is declared dead within
+/// two to three seconds among up to about a hundred members, and each member sends less than
+/// 2 KB/s.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Settings {
-    /// Helpers asked when a member does not answer directly.
+    /// Number of helpers asked to ping a member that does not answer directly.
     pub helpers: usize,
-    /// Time between two probes; each member probes one other at a time.
+    /// Interval between probes; each member probes one other at a time.
     pub period: Duration,
-    /// Longest wait for a direct answer; as long again for an answer through helpers.
+    /// Timeout for a direct answer, and again for an answer after the helpers were asked.
     pub probe_timeout: Duration,
-    /// Probes of a suspect that have to fail in a row before it is declared dead, and one more
-    /// for each fourfold growth of the members.
+    /// Consecutive failed probes of a suspect before it is declared dead; one is added for each
+    /// fourfold growth of the number of members.
     pub suspicion_probes: u32,
-    /// Time between two comparisons of whole tables with another member.
+    /// Mean interval between comparisons of the whole table with another member.
     pub sync_period: Duration,
 }
 
@@ -32,13 +33,14 @@
 }
 
 impl Settings {
-    /// Longest time that one probe takes.
+    /// Returns the longest time that one probe takes.
     #[must_use]
     pub fn max_probe_duration(&self) -> Duration {
         self.probe_timeout * 2
     }
 
-    /// Probes of a suspect that have to fail in a row among `members`.
+    /// Returns the number of consecutive failed probes after which a suspect is declared dead in a
+    /// group of `members`.
     #[must_use]
     pub fn suspicion_probes(&self, members: usize) -> u32 {
         self.suspicion_probes + members.max(1).ilog2() / 2
--- a/crates/lilaccrank/src/membership/suspicion.rs
+++ b/crates/lilaccrank/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Watching suspects until they refute or are declared dead.
+//! Probes suspects until they refute the suspicion or are declared dead.
 
 use std::future::Future;
 
@@ -9,7 +9,8 @@
 use crate::clock::Clock;
 use crate::ids::{Incarnation, VmId};
 
-/// Who only heard of a suspicion waits this many times its length before it probes itself.
+/// A member that learned of a suspicion from another one waits this many times the length of a
+/// suspicion before it probes the suspect itself.
 const REPORTED_SUSPICION_FACTOR: u32 = 2;
 
 impl<C: Clock, D: Datagrams> Node<C, D> {
@@ -18,7 +19,7 @@
             Command::ProbeHint(vm) => self.watch_once(&vm, self.check_hint(&vm)).await,
             Command::Leave(done) => {
                 self.leave().await;
-                // The caller may have stopped waiting; all the same the others know.
+                // The caller may have stopped waiting; the announcement was sent anyway.
                 let _ = done.send(());
             }
             Command::ReportedSuspect(vm) => {
@@ -28,7 +29,8 @@
         }
     }
 
-    /// Told to all twice, since each datagram may be lost; who misses both learns it by gossip.
+    /// Announces the departure to all members twice, since datagrams may be lost. Members that
+    /// miss both learn of it through gossip.
     async fn leave(&self) {
         let now = self.clock.now();
         let me = self.shared.update(|table| table.leave(now));
@@ -51,9 +53,10 @@
         }
     }
 
-    /// If all who heard of a suspicion ran a timer, one lost refutation among many would kill a
-    /// live member. Hearsay counts only when it outlasts the suspicion by far, as when the
-    /// first to suspect died itself; and then this daemon's own probes decide.
+    /// Probes a member that another one reported as suspect, if it is still suspect well after the
+    /// suspicion should have ended, for instance because the reporter died. If every member that
+    /// learned of a suspicion declared the death by a timer, one lost refutation would be enough to
+    /// declare a live member dead; so this daemon's own probes decide.
     async fn watch_reported_suspect(&self, vm: &str) {
         let probes = self.cfg.suspicion_probes(self.member_count()) * REPORTED_SUSPICION_FACTOR;
         self.clock
@@ -64,10 +67,12 @@
         }
     }
 
-    /// Probes a suspect again and again. It is declared dead only when this daemon's own probes
-    /// failed many times in a row. They are counted, not timed: after a freeze of this daemon any
-    /// time is exceeded, and it would take all that it was probing for dead. The others hear of a suspicion only after its second
-    /// failure: on a lossy wire most end there, and their gossip would fill the wire further.
+    /// Probes a suspect repeatedly and declares it dead once enough of this daemon's own probes
+    /// failed in a row. Failures are counted rather than timed: after a freeze of this daemon every
+    /// deadline has passed, and it would declare the members that it was probing dead.
+    ///
+    /// The suspicion is only gossiped after a second failed probe. On a lossy network most
+    /// suspicions end before that, and gossip about them would add to the load.
     async fn watch(&self, vm: &str) {
         let Some(incarnation) = self.incarnation(vm) else {
             return;
@@ -98,7 +103,7 @@
             .update(|table| table.mark(vm, incarnation, state, now))
     }
 
-    /// Incarnation of a member, `None` if it is unknown or dead.
+    /// Returns the incarnation of a member, or `None` if it is unknown or dead.
     fn incarnation(&self, vm: &str) -> Option<Incarnation> {
         let table = self.shared.table.borrow();
         let member = table.get(vm)?;
--- a/crates/lilaccrank/src/membership/table.rs
+++ b/crates/lilaccrank/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of members and the rules by which reports change it.
+//! Member table: applies reports, selects the updates to send and computes the digest.
 
 use std::time::{Duration, Instant};
 
@@ -9,30 +9,32 @@
 use super::message::DatagramBudget;
 use crate::ids::{Incarnation, VmId};
 
-/// How often a change is sent, per doubling of the members.
+/// Number of times a change is sent, for each doubling of the number of members.
 const SENDS_PER_DOUBLING: u32 = 3;
 
-/// How long a dead member is remembered, so that it learns of it when it thaws.
+/// Time for which a dead member is kept, so that it can be told of its death if it resumes after
+/// a freeze.
 const DEAD_MEMBER_TTL: Duration = Duration::from_secs(3_600);
 
-/// What a report did to the table.
+/// Effect of a report on the table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Applied {
-    /// It told something new.
+    /// The report changed the table.
     Changed,
-    /// It told of a suspicion that this table did not have.
+    /// The report added a suspicion that the table did not have.
     NewSuspect,
-    /// It told of a life sign after this declaration of death.
+    /// The report superseded this record, in which the member was dead.
     Resurrected(Member),
-    /// It was older than what the table has about this very daemon.
+    /// The report was about this daemon and older than its own record.
     StaleAboutMe,
-    /// Nothing new.
+    /// The report changed nothing.
     Unchanged,
 }
 
 pub(super) struct Table {
     pub(super) declared_dead: u64,
-    /// Highest incarnation of this daemon whose declared death is counted, or that it never had.
+    /// Highest incarnation of this daemon whose declared death was counted; initially the one
+    /// before its own, so that deaths of earlier processes are not counted.
     max_counted_incarnation: Incarnation,
     me: VmId,
     members: IndexMap<VmId, Entry>,
@@ -66,18 +68,19 @@
         self.members.get(vm).map(|entry| &entry.member)
     }
 
-    /// All members, in no particular order.
+    /// Returns all members, in no particular order.
     pub(super) fn all(&self) -> impl Iterator<Item = &Member> {
         self.members.values().map(|entry| &entry.member)
     }
 
-    /// All others that are not dead.
+    /// Returns all other members that are not dead.
     pub(super) fn others(&self) -> impl Iterator<Item = &Member> {
         self.all()
             .filter(|member| member.state != State::Dead && member.vm != self.me)
     }
 
-    /// Takes in one report.
+    /// Applies one report. Reports about other data centres and about the death of unknown members
+    /// are ignored.
     pub(super) fn apply(&mut self, report: Member, now: Instant) -> Applied {
         if report.data_centre != self.me().data_centre {
             return Applied::Unchanged;
@@ -103,7 +106,8 @@
         }
     }
 
-    /// Marks a member as `state` if it is still at `incarnation`; the new record if it changed.
+    /// Sets the state of a member if it is still at `incarnation`. Returns the new record if the
+    /// table changed.
     pub(super) fn mark(
         &mut self,
         vm: &str,
@@ -120,7 +124,7 @@
         changed.then_some(report)
     }
 
-    /// Announces this daemon as leaving.
+    /// Marks this daemon as leaving and returns its new record.
     pub(super) fn leave(&mut self, now: Instant) -> Member {
         let mut me = self.me().clone();
         me.state = State::Leaving;
@@ -128,8 +132,8 @@
         me
     }
 
-    /// A report about this daemon that is not its own last word is refuted by a higher
-    /// incarnation, or else the others would go on believing the report.
+    /// Applies a report about this daemon. A report that differs from its own record and is not
+    /// older is refuted with a higher incarnation, since the others would otherwise keep it.
     fn apply_to_me(&mut self, report: &Member, now: Instant) -> Applied {
         let mut me = self.me().clone();
         if *report == me {
@@ -146,8 +150,9 @@
         Applied::Changed
     }
 
-    /// Counts each declaration of death once, also one that was refuted before it was heard of:
-    /// a thawed daemon may first read an older suspicion and raise its incarnation for that.
+    /// Counts each declared death of this daemon once. It also counts a death below the current
+    /// incarnation: after a freeze the daemon may receive an older suspicion first and increase its
+    /// incarnation to refute that.
     fn count_death(&mut self, report: &Member) {
         if report.state == State::Dead && report.incarnation > self.max_counted_incarnation {
             self.max_counted_incarnation = report.incarnation;
@@ -156,9 +161,9 @@
         }
     }
 
-    /// A replaced vm comes back under another name at the same address. Without this the old
-    /// name would keep its duties until its probes had failed for the whole suspicion. A later
-    /// start at one address proves that the earlier process is gone.
+    /// Marks earlier members at the address of a live one as dead. A replacement VM has another
+    /// name but the same address, and the old name would keep its duties until its suspicion ended.
+    /// A later start at the same address proves that the earlier process is gone.
     fn mark_predecessors_dead(&mut self, report: &Member, now: Instant) {
         if report.state != State::Live {
             return;
@@ -186,8 +191,8 @@
         self.version += 1;
     }
 
-    /// Changes that go with the next datagram: the least often sent first, and before them the
-    /// members in `priority`.
+    /// Returns the updates for the next datagram and counts them as sent: the records of
+    /// `priority`, which are not counted, and then the changes with the most sends left.
     pub(super) fn take_updates(&mut self, priority: &[VmId]) -> Vec<Member> {
         let mut budget = DatagramBudget::new();
         let mut updates: Vec<Member> = Vec::new();
@@ -214,7 +219,7 @@
         updates
     }
 
-    /// The whole table in parts that each fit one datagram.
+    /// Returns the whole table, split into parts that each fit into one datagram.
     pub(super) fn parts(&self) -> Vec<Vec<Member>> {
         let mut parts = vec![Vec::new()];
         let mut budget = DatagramBudget::new();
@@ -231,8 +236,9 @@
         parts
     }
 
-    /// Fingerprint of what all should agree on. The dead are left out, since each forgets them
-    /// at its own time; suspicions too, since they pass by themselves.
+    /// Returns a hash of the state on which all members should agree. Dead members are left out
+    /// because each member removes them at a different time, and suspicions because they are
+    /// short-lived.
     pub(super) fn digest(&self) -> u64 {
         self.all()
             .filter(|member| member.state != State::Dead)
@@ -244,7 +250,7 @@
             .fold(0, u64::wrapping_add)
     }
 
-    /// Forgets members that died long ago.
+    /// Removes members that have been dead for [`DEAD_MEMBER_TTL`].
     pub(super) fn remove_expired_dead(&mut self, now: Instant) {
         self.members.retain(|_, entry| {
             entry.member.state != State::Dead || now - entry.changed_at < DEAD_MEMBER_TTL
--- a/crates/lilaccrank/src/timeline/event.rs
+++ b/crates/lilaccrank/src/timeline/event.rs
@@ -1,4 +1,4 @@
-//! What happened, to what, and how to ask for it.
+//! Events of a timeline and queries over them.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -6,28 +6,28 @@
 use crate::ids::{RequestId, TargetId};
 use crate::timeline::stamp::Stamp;
 
-/// What happened.
+/// Kind of an event.
 #[derive(Clone, Copy, Debug, Deserialize, Display, Eq, Hash, PartialEq, Serialize)]
 #[display(rename_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum EventKind {
-    /// A configuration came into force here.
+    /// This daemon put a configuration into force.
     Adopted,
     /// The dispatcher was asked for a slot.
     Asked,
-    /// A repeat joined the running answer.
+    /// A repeated request was attached to the answer in progress.
     Attached,
-    /// The caller went away and its work was cancelled.
+    /// The caller disconnected and its work was cancelled.
     Cancelled,
     /// A request key was claimed.
     Claimed,
     /// The request was sent to a target.
     Dispatched,
-    /// A target or daemon finished its last work.
+    /// A target or daemon that was draining finished its remaining work.
     Drained,
-    /// The answer or its failure was passed on in full.
+    /// The answer or its failure was forwarded completely.
     Ended,
-    /// The dispatcher gave a slot.
+    /// The dispatcher granted a slot.
     Granted,
     /// A member joined.
     Joined,
@@ -41,19 +41,19 @@
     Published,
     /// The request was refused.
     Refused,
-    /// The request was shed for work of a higher tier.
+    /// The request was shed in favour of work of a higher tier.
     Shed,
-    /// A member or target gave no sign of life.
+    /// A member or target is suspected to be down.
     Suspected,
-    /// A duty passed to this daemon.
+    /// This daemon took over a duty.
     TakenOver,
 }
 
-/// What an event is about.
+/// Subject of an event.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Subject {
-    /// For people: a reason, a number, a name.
+    /// Details for operators, such as a reason, a number or a name.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub detail: String,
     /// The request concerned.
@@ -64,34 +64,34 @@
     pub target: Option<TargetId>,
 }
 
-/// One entry of a time line.
+/// One entry of a timeline.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// What happened.
+    /// Kind of the event.
     pub kind: EventKind,
-    /// When, and on which daemon.
+    /// Time of the event and the daemon that recorded it.
     pub stamp: Stamp,
-    /// What it is about.
+    /// Request or target concerned, with details.
     pub subject: Subject,
 }
 
-/// Which events are wanted; all conditions that are given must hold.
+/// Filter for events; an event has to meet all conditions that are set.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Query {
-    /// At or after this wall time, in milliseconds since 1970.
+    /// Earliest wall time, inclusive, in milliseconds since the Unix epoch.
     pub from_ms: Option<u64>,
-    /// About this request.
+    /// Request that the event concerns.
     pub request: Option<RequestId>,
-    /// About this target.
+    /// Target that the event concerns.
     pub target: Option<TargetId>,
-    /// Before this wall time, in milliseconds since 1970.
+    /// Latest wall time, exclusive, in milliseconds since the Unix epoch.
     pub until_ms: Option<u64>,
 }
 
 impl Query {
-    /// Whether `event` is wanted.
+    /// Returns `true` if `event` meets all conditions.
     #[must_use]
     pub fn matches(&self, event: &Event) -> bool {
         let wall_ms = event.stamp.wall_ms;
--- a/crates/lilaccrank/src/timeline/merge.rs
+++ b/crates/lilaccrank/src/timeline/merge.rs
@@ -1,10 +1,11 @@
-//! One causal order over the events of many daemons.
+//! Merges the timelines of several daemons.
 
 use crate::timeline::event::Event;
 
-/// Merges time lines into one order in which an effect never comes before its cause.
+/// Merges timelines into causal order, without duplicates.
 ///
-/// Daemons observe the stamps of messages, so the order of stamps contains the causal one.
+/// Daemons observe the stamps of the messages they receive, so the order of stamps is consistent
+/// with causality.
 #[must_use]
 pub fn merge(timelines: impl IntoIterator<Item = Vec<Event>>) -> Vec<Event> {
     let mut events: Vec<Event> = timelines.into_iter().flatten().collect();
--- a/crates/lilaccrank/src/timeline/stamp.rs
+++ b/crates/lilaccrank/src/timeline/stamp.rs
@@ -4,23 +4,24 @@
 
 use crate::ids::VmId;
 
-/// When an event happened: wall time, corrected so that effects come after their causes.
+/// Hybrid logical clock timestamp: wall time, adjusted so that effects are ordered after their
+/// causes.
 ///
 /// Source: Kulkarni et al., "Logical Physical Clocks" (2014).
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Stamp {
-    // The derived order compares the fields from top to bottom, so theirs is not alphabetical.
-    /// Largest wall time known, in milliseconds since 1970.
+    // The derived order compares the fields in order of declaration.
+    /// Largest wall time known, in milliseconds since the Unix epoch.
     pub wall_ms: u64,
-    /// Counts the stamps of one wall time.
+    /// Orders stamps with the same wall time.
     pub counter: u32,
-    /// The daemon that made the stamp; breaks ties.
+    /// VM of the daemon that created the stamp; breaks ties.
     pub vm: VmId,
 }
 
 impl Stamp {
-    /// Before every stamp of the daemon on `vm`.
+    /// Returns the initial stamp, which is before all other stamps of the daemon on `vm`.
     #[must_use]
     pub fn start(vm: VmId) -> Self {
         Self {
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Moves past `remote`, also where the wall clock here lags behind the sender's.
+    /// Advances past `remote`, even if the local wall clock lags behind the sender's.
     pub fn observe(&mut self, remote: &Self, wall_ms: u64) {
         if (remote.wall_ms, remote.counter) > (self.wall_ms, self.counter) {
             self.wall_ms = remote.wall_ms;
@@ -39,7 +40,7 @@
         self.tick(wall_ms);
     }
 
-    /// Moves to the next stamp; a wall clock set back doesn't set the stamp back.
+    /// Advances to the next stamp. The stamp increases even if the wall clock was set back.
     pub fn tick(&mut self, wall_ms: u64) {
         if wall_ms > self.wall_ms {
             self.wall_ms = wall_ms;
--- a/crates/lilaccrank/tests/suite/membership.rs
+++ b/crates/lilaccrank/tests/suite/membership.rs
@@ -1,4 +1,5 @@
-//! Failures that the membership has to see, and those it must not see.
+//! Failure detection of the membership: failures that it must detect and false positives that it
+//! must avoid.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -7,9 +8,9 @@
 
 use crate::cluster::{self, Cluster};
 
-// Requests sent to a killed daemon are lost until all know of its death. Daemon 4 is killed
-// without a word; one of the others sees its probes fail, suspects it, and after the suspicion
-// tells all.
+// Requests sent to a killed daemon are lost until all others know of its death. Daemon 1 is killed
+// without announcing it. A member whose probes fail suspects it, and announces its death when the
+// suspicion ends.
 macro_rules! killed {
     ($($name:ident: $count:expr, $limit_ms:expr;)*) => {$(
         #[test]
@@ -31,10 +32,10 @@
     killed_among_64: 64, 3_000;
 }
 
-// A frozen daemon wakes and goes on granting as if nothing had been, while its successor grants
-// as well. It was declared dead meanwhile. It may have heard all of that, nothing, or only of the
-// first suspicion, which it refutes first; in each case it has to learn of its death within a few
-// periods, so that its embedding code drops what it held. Its first messages are lost.
+// A daemon that resumes after a freeze would go on granting although it was declared dead and its
+// successor grants as well. Datagrams queued during the freeze may report its death, only a
+// suspicion that it refutes first, or nothing. In each case it must learn of its death within a few
+// periods, so that the caller gives up its grants. Its first messages are lost.
 macro_rules! thawed {
     ($($name:ident: $count:expr, $known_state:expr;)*) => {$(
         #[test]
@@ -95,9 +96,9 @@
     thawed_daemon_of_9_that_heard_of_suspicion_learns_of_its_death: 9, State::Suspect;
 }
 
-// A daemon is frozen while it probes. When it thaws its timers are over, though the other had no
-// chance to answer; if that one failure counted, the thawed one would declare a healthy daemon
-// dead and move its duties.
+// A daemon is frozen during a probe. When it resumes, the timeout has passed although the other
+// member had no chance to answer. If that failure alone counted, a healthy daemon would be declared
+// dead and lose its duties.
 #[test]
 fn thawed_daemon_declares_nobody_dead() {
     let mut cluster = Cluster::new(9);
@@ -117,9 +118,9 @@
     }
 }
 
-// Daemon 5 hears that daemon 4 is suspect and is frozen itself. Meanwhile daemon 4 refutes. When
-// daemon 5 thaws, its wait is over and it still holds the suspicion: hearsay that counted by
-// time alone would kill a healthy daemon.
+// Daemon 5 learns that daemon 4 is suspect and is frozen before daemon 4 refutes the suspicion.
+// When daemon 5 resumes, its wait is over and it still has the suspicion. If the elapsed time alone
+// counted, it would declare a healthy daemon dead.
 #[test]
 fn outdated_suspicion_kills_no_live_member() {
     let mut cluster = Cluster::new(9);
@@ -140,8 +141,8 @@
     assert_eq!(cluster.daemons[4].membership.declared_dead_count(), 0);
 }
 
-// A rack fails: three daemons die together, and with them perhaps the one that was about to
-// declare another dead.
+// Three daemons fail shortly after each other, as when a rack fails. The failure detector must
+// not depend on a member that fails itself before it declares another one dead.
 #[test]
 fn simultaneous_deaths_are_all_detected() {
     let mut cluster = Cluster::new(9);
@@ -155,8 +156,8 @@
     assert!(known.is_some());
 }
 
-// A vm is replaced by one with another name at the same address. The old name answers no more;
-// as long as it is thought live, duties and grants go to it and are lost.
+// A VM is replaced by one with another name at the same address. The old name no longer answers, so
+// duties and grants sent to it are lost as long as it is considered live.
 #[test]
 fn replacement_at_same_address_marks_old_vm_dead() {
     let mut cluster = Cluster::new(9);
@@ -175,8 +176,8 @@
     );
 }
 
-// A daemon restarts under its own name before anybody missed it. What it held is gone, so the
-// others must see a new incarnation although it always seemed live.
+// A daemon restarts under its own name before the others detect the failure. Its state is lost, so
+// the others must see a new incarnation although they always considered it live.
 #[test]
 fn restarted_daemon_is_seen_as_a_new_incarnation() {
     let mut cluster = Cluster::new(9);
@@ -191,8 +192,8 @@
     assert!(cluster.advance_until(3_000, all_know).is_some());
 }
 
-// One datagram in five is lost, so one probe in three fails directly. Members that come and go
-// in the table would move their duties each time, with all that waits there.
+// One datagram in five is lost, so about one in three direct probes fails. If live members were
+// dropped from the table, their duties and the requests queued there would move each time.
 macro_rules! lossy {
     ($($name:ident: $count:expr;)*) => {$(
         #[test]
@@ -216,8 +217,9 @@
     packet_loss_among_9_drops_no_live_member: 9;
 }
 
-// A switch cuts three daemons off, and each side declares the other dead. When it heals, nobody
-// probes the dead: without letters to them both sides would keep their own duties for ever.
+// A network partition separates three daemons, and each side declares the other dead. Dead members
+// are not probed, so unless digests are still sent to them, the sides never merge after the
+// partition heals and both keep their own duties.
 #[test]
 fn partition_heals() {
     let mut cluster = Cluster::new(9);
@@ -234,8 +236,8 @@
     );
 }
 
-// A leaving daemon is given work until the others know. It tells all at once, twice, so that
-// losing one datagram in five delays few of them by a period.
+// A leaving daemon is assigned work until the others know that it leaves. It announces that to all
+// members twice, so that with one datagram in five lost, few of them learn of it a period late.
 #[test]
 fn leaving_is_known_at_once() {
     let mut cluster = Cluster::new(9);
@@ -251,8 +253,8 @@
     assert!(states.into_iter().all(|s| s == Some(State::Leaving)));
 }
 
-// A daemon that leaves ends at once after the announcement: each of the others has to know it by
-// then, since nobody is left to repeat it.
+// A daemon exits right after it announced that it leaves. All others must know by then, since it
+// can't repeat the announcement.
 #[test]
 fn exit_after_leaving_is_known_to_all() {
     let mut cluster = Cluster::new(64);
@@ -267,8 +269,8 @@
     assert!(cluster.all_see(63, Some(2)));
 }
 
-// A caller's connection to a peer is refused and it hints at that. If the hint alone counted,
-// one full backlog would kill a healthy daemon.
+// A caller reports that a peer refused its connection. If the report alone counted, one full listen
+// backlog would be enough to declare a healthy daemon dead.
 #[test]
 fn hint_about_a_healthy_member_changes_nothing() {
     let mut cluster = Cluster::new(9);
--- a/crates/lilaccrank/tests/suite/membership_cost.rs
+++ b/crates/lilaccrank/tests/suite/membership_cost.rs
@@ -1,5 +1,5 @@
-//! Cost of the membership and its time to see a death, on the paused clock: the same figures
-//! each time. `cargo nextest run membership_cost --no-capture` prints them.
+//! Bandwidth and failure detection time of the membership, on the paused clock, so the figures are
+//! reproducible. `cargo nextest run membership_cost --no-capture` prints them.
 
 use crate::cluster::{self, Cluster};
 
--- a/crates/lilaccrank/tests/suite/timeline.rs
+++ b/crates/lilaccrank/tests/suite/timeline.rs
@@ -1,4 +1,4 @@
-//! Stamps, the ring and the merge.
+//! Stamps, queries, the ring buffer and merging of timelines.
 
 use std::time::Duration;
 
@@ -21,8 +21,8 @@
 
 #[test]
 fn effect_follows_its_cause_over_a_lagging_clock() {
-    // Daemon b's wall clock is ten minutes behind a's. a dispatches and tells b, which ends the
-    // request. By wall time alone the end would be listed before its cause.
+    // Daemon b's wall clock is ten minutes behind a's. a dispatches a request and b ends it.
+    // Ordered by wall time alone, the end would come before the dispatch.
     let (clock, a) = new_timeline("a", 10);
     clock.advance(Duration::from_secs(600));
     let (_, b) = new_timeline("b", 10);
