--- a/crates/lilaccrankd/src/callers/answer_cache.rs
+++ b/crates/lilaccrankd/src/callers/answer_cache.rs
@@ -65,7 +65,7 @@
 
     /// Removes an answer that is no longer needed.
     ///
-    /// If a keeper was unreachable and its key was released late, the key may have been claimed
+    /// If a key owner was unreachable and its key was released late, the key may have been claimed
     /// again. The newer answer under this key then stays.
     pub fn remove(&self, key: &ScopedKey, buffer: &Rc<AnswerBuffer>) {
         let mut entries = self.entries.borrow_mut();
--- a/crates/lilaccrankd/src/peers/network.rs
+++ b/crates/lilaccrankd/src/peers/network.rs
@@ -26,8 +26,8 @@
 
 /// The connection that a call uses.
 ///
-/// A batch is answered when its slowest call is. A claim waits for the copy at a third daemon; if
-/// copies shared connections with claims, three keepers could wait for each other in a cycle until
+/// A batch is answered when its slowest call is. A claim waits for the backup at a third daemon; if
+/// backups shared connections with claims, three owners could wait for each other in a cycle until
 /// all three calls time out. Calls that wait for nobody have connections of their own, which breaks
 /// the cycle.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -36,7 +36,7 @@
     Configuration,
     /// Calls between holders of records, answered without calling another daemon.
     Copies,
-    /// Calls to the keeper of a key, which may call the holder of the copy.
+    /// Calls to the owner of a key, which may call its backup.
     Keys,
     /// Calls about pools and orders, answered without calling another daemon.
     Pools,
--- a/crates/lilaccrankd/src/peers/traffic.rs
+++ b/crates/lilaccrankd/src/peers/traffic.rs
@@ -11,9 +11,9 @@
     pub load_exchange: Tally,
     /// Calls to peers about configurations and the list of VMs.
     pub peer_configuration: Tally,
-    /// Calls to peers about copies of request keys.
+    /// Calls to peers about the backups of request keys.
     pub peer_copies: Tally,
-    /// Calls to keepers of request keys.
+    /// Calls to owners of request keys.
     pub peer_keys: Tally,
     /// Calls to peers about pools.
     pub peer_pools: Tally,
--- a/crates/lilaccrankd/src/request/key_state.rs
+++ b/crates/lilaccrankd/src/request/key_state.rs
@@ -60,7 +60,7 @@
             Ok(ClaimOutcome::Attach(entry))
         }
         // A daemon that has just died may have run the first attempt of a repeated request. While
-        // the keeper cannot tell, "not run" would be wrong.
+        // the owner cannot tell, "not run" would be wrong.
         Err(e @ Error::Unsettled) => Err(refusal(&e).ran(Executed::Maybe)),
         Err(e) => Err(refusal(&e)),
     }
--- a/crates/lilaccrankd/src/request/lifecycle.rs
+++ b/crates/lilaccrankd/src/request/lifecycle.rs
@@ -60,7 +60,7 @@
         async move { settle(&daemon, &routed, &result, key, &buffer).await }
     });
     // A caller that repeats its request at once should find the key settled. The timeout keeps an
-    // unreachable keeper from delaying the end of the answer.
+    // unreachable key owner from delaying the end of the answer.
     let _ = monoio::time::timeout(SETTLE_TIMEOUT, settling).await;
     let total_ms = routed.elapsed_ms();
     daemon
