--- a/crates/lilaccrank-cli/src/api.rs
+++ b/crates/lilaccrank-cli/src/api.rs
@@ -116,7 +116,7 @@
     ) -> Result<T> {
         let limits = Limits {
             connect: CONNECT_LIMIT,
-            rest: Duration::ZERO,
+            max_idle: Duration::ZERO,
             head: limit,
         };
         let sent = self.client.send(address.as_str(), req, limits).await;
@@ -171,7 +171,7 @@
 
 /// Why there is no answer.
 pub fn failed(address: &Address, e: &client::Error) -> Error {
-    if e.sent_nothing() {
+    if e.is_unsent() {
         return Error::Unreachable {
             address: address.to_string(),
             why: e.to_string(),
--- a/crates/lilaccrank-cli/src/send.rs
+++ b/crates/lilaccrank-cli/src/send.rs
@@ -77,7 +77,7 @@
         let req = self.request(cx.key()?)?;
         let limits = Limits {
             connect: CONNECT_LIMIT,
-            rest: Duration::ZERO,
+            max_idle: Duration::ZERO,
             head: SILENCE_LIMIT,
         };
         let client = Client::default();
--- a/crates/lilaccrank-http/src/body.rs
+++ b/crates/lilaccrank-http/src/body.rs
@@ -22,9 +22,9 @@
 const CHANNEL_FRAMES: usize = 16;
 
 /// Longest wait for a last piece to be taken by the connection.
-const TAKEN_LIMIT: Duration = Duration::from_secs(1);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time between two looks whether it was taken.
-const TAKEN_POLL: Duration = Duration::from_millis(1);
+const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// Why a body could not be read whole.
 #[derive(Debug, Error)]
@@ -40,7 +40,7 @@
     },
 }
 
-/// A body sent frame by frame; dropping the sender ends it as whole, see [`break_off`].
+/// A body sent frame by frame; dropping the sender ends it as whole, see [`send_and_abort`].
 #[must_use]
 pub fn channel() -> (BodySender, Body) {
     let (tx, body) = Channel::new(CHANNEL_FRAMES);
@@ -53,14 +53,14 @@
 /// reader would miss the last piece. The connection's task takes the piece, finds nothing after
 /// it and writes it in one go, so it is enough to wait until the piece was taken. A reader that
 /// takes nothing for the time of the wait still sees the break.
-pub async fn break_off(mut tx: BodySender, last: Bytes, why: &str) {
+pub async fn send_and_abort(mut tx: BodySender, last: Bytes, reason: &str) {
     if tx.send_data(last).await.is_ok() {
-        let until = Instant::now() + TAKEN_LIMIT;
-        while tx.capacity() < tx.max_capacity() && Instant::now() < until {
-            monoio::time::sleep(TAKEN_POLL).await;
+        let deadline = Instant::now() + FLUSH_TIMEOUT;
+        while tx.capacity() < tx.max_capacity() && Instant::now() < deadline {
+            monoio::time::sleep(FLUSH_POLL_INTERVAL).await;
         }
     }
-    tx.abort(why.into());
+    tx.abort(reason.into());
 }
 
 /// A body of no bytes.
--- a/crates/lilaccrank-http/src/client.rs
+++ b/crates/lilaccrank-http/src/client.rs
@@ -25,7 +25,7 @@
 /// Something between the two ends may lose track of an idle connection without a word; a
 /// request sent on it then hangs, and whether it ran is unknown. Within this time the last
 /// answer is proof enough; after it a new connection proves itself by its handshake.
-pub const PROVED_FOR: Duration = Duration::from_secs(1);
+pub const MAX_IDLE: Duration = Duration::from_secs(1);
 /// A silent connection is probed by the system after this long, and up to twice as long.
 ///
 /// Connections opened in one burst would otherwise all be probed in the same instant; with 3,000
@@ -78,7 +78,7 @@
 
     /// Whether the other end certainly got nothing.
     #[must_use]
-    pub fn sent_nothing(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         matches!(
             self,
             Self::Connect { .. } | Self::Exchange { unsent: true, .. }
@@ -93,16 +93,16 @@
     pub connect: Duration,
     /// Time from sending to the response head.
     pub head: Duration,
-    /// Longest rest of an idle connection that is used again, [`PROVED_FOR`] at most; zero if
+    /// Longest rest of an idle connection that is used again, [`MAX_IDLE`] at most; zero if
     /// only a new one will do.
-    pub rest: Duration,
+    pub max_idle: Duration,
 }
 
 /// A client; clones share the connections.
 #[derive(Clone, Default)]
 pub struct Client {
     /// How often an address was forgotten; connections of before are not kept.
-    forgotten: Rc<RefCell<IndexMap<String, u64>>>,
+    generations: Rc<RefCell<IndexMap<String, u64>>>,
     idle: Rc<RefCell<IndexMap<String, Vec<Idle>>>>,
     /// Whether a task closes idle connections.
     sweeping: Rc<Cell<bool>>,
@@ -116,7 +116,7 @@
 
 impl Idle {
     fn is_usable(&self) -> bool {
-        self.since.elapsed() < PROVED_FOR && !self.sender.is_closed()
+        self.since.elapsed() < MAX_IDLE && !self.sender.is_closed()
     }
 }
 
@@ -127,7 +127,7 @@
 pub struct Connection {
     address: String,
     /// How often its address had been forgotten when it was made.
-    forgotten: u64,
+    generation: u64,
     sender: SendRequest<Body>,
 }
 
@@ -140,7 +140,7 @@
     pub async fn open(address: &str, limit: Duration) -> Result<Self> {
         Ok(Self {
             address: address.to_owned(),
-            forgotten: 0,
+            generation: 0,
             sender: connect(address, limit, None).await?,
         })
     }
@@ -164,20 +164,20 @@
         let answer = monoio::time::timeout(head, self.sender.try_send_request(req)).await;
         let address = || self.address.clone();
         let Ok(answer) = answer else {
-            let silent = Error::Silent {
+            let timed_out = Error::Silent {
                 address: address(),
                 limit: head,
             };
-            return Err((silent, None));
+            return Err((timed_out, None));
         };
         answer.map_err(|mut e| {
             let unsent = e.take_message();
-            let failed = Error::Exchange {
+            let err = Error::Exchange {
                 address: address(),
                 source: e.into_error(),
                 unsent: unsent.is_some(),
             };
-            (failed, unsent)
+            (err, unsent)
         })
     }
 }
@@ -185,7 +185,7 @@
 impl Client {
     /// A client whose bytes, requests and responses are counted.
     #[must_use]
-    pub fn counted(tally: Tally) -> Self {
+    pub fn with_tally(tally: Tally) -> Self {
         Self {
             tally: Some(tally),
             ..Self::default()
@@ -204,10 +204,10 @@
         limits: Limits,
     ) -> Result<(Response<Incoming>, Connection)> {
         let mut req = req;
-        while let Some(sender) = self.take(address, limits.rest) {
+        while let Some(sender) = self.take(address, limits.max_idle) {
             let connection = Connection {
                 address: address.to_owned(),
-                forgotten: self.forgotten(address),
+                generation: self.generation(address),
                 sender,
             };
             match self.exchange(connection, req, limits.head).await {
@@ -219,7 +219,7 @@
         }
         let connection = Connection {
             address: address.to_owned(),
-            forgotten: self.forgotten(address),
+            generation: self.generation(address),
             sender: connect(address, limits.connect, self.tally.as_ref()).await?,
         };
         let answered = self.exchange(connection, req, limits.head).await;
@@ -233,18 +233,18 @@
         head: Duration,
     ) -> Result<(Response<Incoming>, Connection), (Error, Option<Request<Body>>)> {
         if let Some(tally) = &self.tally {
-            tally.send_messages(1);
+            tally.count_sent_messages(1);
         }
         let res = connection.try_send(req, head).await?;
         if let Some(tally) = &self.tally {
-            tally.receive_messages(1);
+            tally.count_received_messages(1);
         }
         Ok((res, connection))
     }
 
     /// Takes a connection back after a whole answer.
     pub fn release(&self, connection: Connection) {
-        if connection.forgotten != self.forgotten(&connection.address) {
+        if connection.generation != self.generation(&connection.address) {
             return;
         }
         let mut idle = self.idle.borrow_mut();
@@ -262,15 +262,15 @@
 
     /// Gives up all connections to an address: another process has it now. One to the process before
     /// would hang without a word, or be reset with a request on it that may not be sent twice.
-    pub fn forget(&self, address: &str) {
+    pub fn discard_connections(&self, address: &str) {
         self.idle.borrow_mut().swap_remove(address);
-        let mut forgotten = self.forgotten.borrow_mut();
-        *forgotten.entry(address.to_owned()).or_default() += 1;
+        let mut generations = self.generations.borrow_mut();
+        *generations.entry(address.to_owned()).or_default() += 1;
     }
 
-    fn forgotten(&self, address: &str) -> u64 {
-        let forgotten = self.forgotten.borrow();
-        forgotten.get(address).copied().unwrap_or(0)
+    fn generation(&self, address: &str) -> u64 {
+        let generations = self.generations.borrow();
+        generations.get(address).copied().unwrap_or(0)
     }
 
     /// Closes what is too old to be used, until nothing is idle.
@@ -280,7 +280,7 @@
     /// daemon before thousands of targets runs out of descriptors.
     async fn sweep(self) {
         loop {
-            monoio::time::sleep(PROVED_FOR).await;
+            monoio::time::sleep(MAX_IDLE).await;
             let mut idle = self.idle.borrow_mut();
             idle.retain(|_, list| {
                 list.retain(Idle::is_usable);
@@ -294,12 +294,12 @@
     }
 
     /// The connection that rested shortest, if that is short enough.
-    fn take(&self, address: &str, rest: Duration) -> Option<SendRequest<Body>> {
+    fn take(&self, address: &str, max_idle: Duration) -> Option<SendRequest<Body>> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(address)?;
         list.retain(Idle::is_usable);
-        let rested = |idle: &Idle| idle.since.elapsed() < rest && idle.sender.is_ready();
-        let at = list.iter().rposition(rested)?;
+        let is_fresh = |idle: &Idle| idle.since.elapsed() < max_idle && idle.sender.is_ready();
+        let at = list.iter().rposition(is_fresh)?;
         Some(list.swap_remove(at).sender)
     }
 }
--- a/crates/lilaccrank-http/src/events.rs
+++ b/crates/lilaccrank-http/src/events.rs
@@ -28,13 +28,13 @@
 
 /// Bytes that do not yet make a whole event.
 #[derive(Debug, Default)]
-pub struct Cutter {
+pub struct EventSplitter {
     buf: BytesMut,
     /// Bytes of `buf` that hold no end of an event.
-    seen: usize,
+    scanned: usize,
 }
 
-impl Cutter {
+impl EventSplitter {
     /// Adds bytes as they came.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
@@ -46,15 +46,15 @@
     ///
     /// [`Error::TooLarge`] if an event does not end.
     pub fn next_event(&mut self) -> Result<Option<Event>> {
-        let Some(end) = end_of_event(&self.buf, self.seen) else {
+        let Some(end) = event_len(&self.buf, self.scanned) else {
             if self.buf.len() > EVENT_LIMIT {
                 return Err(Error::TooLarge);
             }
             // An end may lie across two pieces.
-            self.seen = self.buf.len().saturating_sub(3);
+            self.scanned = self.buf.len().saturating_sub(3);
             return Ok(None);
         };
-        self.seen = 0;
+        self.scanned = 0;
         let bytes = self.buf.split_to(end).freeze();
         let id = id(&bytes);
         Ok(Some(Event { bytes, id }))
@@ -68,8 +68,8 @@
 }
 
 /// Length of the first event, its empty line included.
-fn end_of_event(buf: &[u8], from: usize) -> Option<usize> {
-    let lines = (from..buf.len()).filter(|at| buf[*at] == b'\n');
+fn event_len(buf: &[u8], start: usize) -> Option<usize> {
+    let lines = (start..buf.len()).filter(|at| buf[*at] == b'\n');
     for at in lines {
         let after = &buf[at + 1..];
         if after.first() == Some(&b'\n') {
--- a/crates/lilaccrank-http/src/head_pace.rs
+++ b/crates/lilaccrank-http/src/head_timer.rs
@@ -17,86 +17,86 @@
 /// Between two requests, or in one.
 #[derive(Default)]
 struct State {
-    begun: Event,
+    started: Event,
     in_request: Cell<bool>,
-    since: Cell<Option<Instant>>,
+    started_at: Cell<Option<Instant>>,
 }
 
 /// Times the heads of one connection; clones share the state.
 #[derive(Clone, Default)]
-pub(crate) struct HeadPace {
+pub(crate) struct HeadTimer {
     state: Rc<State>,
 }
 
 /// A request in progress until it is dropped.
-pub(crate) struct InRequest(HeadPace);
+pub(crate) struct RequestGuard(HeadTimer);
 
 /// A transport whose first byte of each head is timed.
-pub(crate) struct Paced<T> {
+pub(crate) struct TimedIo<T> {
     io: T,
-    pace: HeadPace,
+    head_timer: HeadTimer,
 }
 
 /// A body that keeps its request in progress.
-pub(crate) struct PacedBody<B> {
+pub(crate) struct GuardedBody<B> {
     body: B,
-    _in_request: InRequest,
+    _guard: RequestGuard,
 }
 
-impl HeadPace {
+impl HeadTimer {
     /// A whole head has come.
-    pub(crate) fn request(&self) -> InRequest {
+    pub(crate) fn begin_request(&self) -> RequestGuard {
         self.state.in_request.set(true);
-        self.state.since.set(None);
-        InRequest(self.clone())
+        self.state.started_at.set(None);
+        RequestGuard(self.clone())
     }
 
     /// Completes once a head has taken longer than `limit`.
-    pub(crate) async fn too_slow(&self, limit: Duration) {
+    pub(crate) async fn timed_out(&self, limit: Duration) {
         loop {
-            let listener = self.state.begun.listen();
-            let Some(since) = self.state.since.get() else {
+            let listener = self.state.started.listen();
+            let Some(started_at) = self.state.started_at.get() else {
                 listener.await;
                 continue;
             };
-            monoio::time::sleep_until((since + limit).into()).await;
-            if self.state.since.get() == Some(since) {
+            monoio::time::sleep_until((started_at + limit).into()).await;
+            if self.state.started_at.get() == Some(started_at) {
                 return;
             }
         }
     }
 
-    fn bytes_came(&self) {
-        let resting = !self.state.in_request.get() && self.state.since.get().is_none();
-        if resting {
-            self.state.since.set(Some(Instant::now()));
-            self.state.begun.notify(usize::MAX);
+    fn on_read(&self) {
+        let is_first_read = !self.state.in_request.get() && self.state.started_at.get().is_none();
+        if is_first_read {
+            self.state.started_at.set(Some(Instant::now()));
+            self.state.started.notify(usize::MAX);
         }
     }
 }
 
-impl Drop for InRequest {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.state.in_request.set(false);
     }
 }
 
-impl<T> Paced<T> {
-    pub(crate) fn new(io: T, pace: HeadPace) -> Self {
-        Self { io, pace }
+impl<T> TimedIo<T> {
+    pub(crate) fn new(io: T, head_timer: HeadTimer) -> Self {
+        Self { io, head_timer }
     }
 }
 
-impl<B> PacedBody<B> {
-    pub(crate) fn new(body: B, in_request: InRequest) -> Self {
+impl<B> GuardedBody<B> {
+    pub(crate) fn new(body: B, guard: RequestGuard) -> Self {
         Self {
             body,
-            _in_request: in_request,
+            _guard: guard,
         }
     }
 }
 
-impl<B: Body + Unpin> Body for PacedBody<B> {
+impl<B: Body + Unpin> Body for GuardedBody<B> {
     type Data = B::Data;
     type Error = B::Error;
 
@@ -116,7 +116,7 @@
     }
 }
 
-impl<T: Read + Unpin> Read for Paced<T> {
+impl<T: Read + Unpin> Read for TimedIo<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -125,13 +125,13 @@
         let polled = Pin::new(&mut self.io).poll_read(cx, buf);
         // The end of the stream counts as a byte too, and ends the connection anyway.
         if polled.is_ready() {
-            self.pace.bytes_came();
+            self.head_timer.on_read();
         }
         polled
     }
 }
 
-impl<T: Write + Unpin> Write for Paced<T> {
+impl<T: Write + Unpin> Write for TimedIo<T> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/lilaccrank-http/src/lib.rs
+++ b/crates/lilaccrank-http/src/lib.rs
@@ -5,10 +5,10 @@
 
 pub mod body;
 pub mod client;
+pub mod compression;
 pub mod events;
-mod head_pace;
+mod head_timer;
 pub mod monoio_clock;
-pub mod packing;
 pub mod peer_link;
 pub mod peer_server;
 pub mod runtime;
--- a/crates/lilaccrank-http/src/monoio_clock.rs
+++ b/crates/lilaccrank-http/src/monoio_clock.rs
@@ -11,10 +11,10 @@
 
 impl Clock for MonoioClock {
     fn boot_time(&self) -> BootTime {
-        let at = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+        let ts = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
         Duration::new(
-            u64::try_from(at.tv_sec).unwrap_or_default(),
-            u32::try_from(at.tv_nsec).unwrap_or_default(),
+            u64::try_from(ts.tv_sec).unwrap_or_default(),
+            u32::try_from(ts.tv_nsec).unwrap_or_default(),
         )
     }
 
--- a/crates/lilaccrank-http/src/peer_link.rs
+++ b/crates/lilaccrank-http/src/peer_link.rs
@@ -21,7 +21,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::packing::{self, Packed};
+use crate::compression::{self, EncodedBody};
 use crate::tally::{Counted, Tally};
 
 /// Path of the one resource that peers post to.
@@ -33,8 +33,8 @@
 /// Time for one batch. A peer that is alive answers in milliseconds; waiting longer would hold
 /// up every later call behind a connection that has silently died.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// An idle connection is trusted this long; see the client's `PROVED_FOR`.
-const PROVED_FOR: Duration = Duration::from_secs(2);
+/// An idle connection is trusted this long; see the client's `MAX_IDLE`.
+const MAX_IDLE: Duration = Duration::from_secs(2);
 
 struct Call<Req, Rep> {
     req: Req,
@@ -66,13 +66,13 @@
     #[must_use]
     pub fn start(vm: VmId, address: String, tally: Tally) -> Self {
         let (tx, rx) = mpsc::unbounded();
-        let peer = Peer {
+        let task = LinkTask {
             address,
             connection: None,
             tally,
             vm: vm.clone(),
         };
-        monoio::spawn(peer.run(rx));
+        monoio::spawn(task.run(rx));
         Self { tx, vm }
     }
 
@@ -94,17 +94,17 @@
 struct Connection {
     decoder: ResponseDecoder<Counted<TcpOwnedReadHalf>>,
     encoder: GenericEncoder<Counted<TcpOwnedWriteHalf>>,
-    proved: std::time::Instant,
+    last_used: std::time::Instant,
 }
 
-struct Peer {
+struct LinkTask {
     address: String,
     connection: Option<Connection>,
     tally: Tally,
     vm: VmId,
 }
 
-impl Peer {
+impl LinkTask {
     async fn run<Req, Rep>(mut self, mut rx: mpsc::UnboundedReceiver<Call<Req, Rep>>)
     where
         Req: Serialize,
@@ -146,17 +146,17 @@
         let Ok(buf) = rmp_serde::to_vec_named(reqs) else {
             return Err(unreachable());
         };
-        let kept = self
+        let reusable = self
             .connection
             .take()
-            .filter(|c| c.proved.elapsed() < PROVED_FOR);
-        let mut connection = match kept {
+            .filter(|c| c.last_used.elapsed() < MAX_IDLE);
+        let mut connection = match reusable {
             Some(connection) => connection,
             None => connect(&self.address, &self.tally)
                 .await
                 .ok_or_else(unreachable)?,
         };
-        self.tally.send_messages(reqs.len());
+        self.tally.count_sent_messages(reqs.len());
         let body = monoio::time::timeout(EXCHANGE_TIMEOUT, connection.post(buf))
             .await
             .ok()
@@ -169,8 +169,8 @@
         if replies.len() != reqs.len() {
             return Err(no_answer());
         }
-        self.tally.receive_messages(replies.len());
-        connection.proved = std::time::Instant::now();
+        self.tally.count_received_messages(replies.len());
+        connection.last_used = std::time::Instant::now();
         self.connection = Some(connection);
         Ok(replies)
     }
@@ -186,34 +186,34 @@
     Some(Connection {
         decoder: ResponseDecoder::new(Counted::new(r, tally.clone())),
         encoder: GenericEncoder::new(Counted::new(w, tally.clone())),
-        proved: std::time::Instant::now(),
+        last_used: std::time::Instant::now(),
     })
 }
 
 impl Connection {
     async fn post(&mut self, buf: Vec<u8>) -> Option<Vec<u8>> {
-        let packed = packing::pack(buf);
-        let payload = FixedPayload::<Bytes, PayloadError>::new(packed.buf.into());
+        let encoded = compression::compress(buf);
+        let payload = FixedPayload::<Bytes, PayloadError>::new(encoded.buf.into());
         let mut req = Builder::new()
             .method(Method::POST)
             .uri(PATH)
             .header(http::header::HOST, "peer")
             .body(Payload::Fixed(payload))
             .ok()?;
-        if packed.deflated {
-            packing::mark(req.headers_mut());
+        if encoded.deflated {
+            compression::set_deflated(req.headers_mut());
         }
         self.encoder.send_and_flush(req).await.ok()?;
         let res = self.decoder.next().await?.ok()?;
         if !res.status().is_success() {
             return None;
         }
-        let deflated = packing::is_marked(res.headers());
+        let deflated = compression::is_deflated(res.headers());
         let Payload::Fixed(mut payload) = res.into_body() else {
             return None;
         };
         self.decoder.fill_payload().await.ok()?;
         let buf = payload.next().await?.ok()?.into();
-        packing::unpack(Packed { buf, deflated }).ok()
+        compression::decompress(EncodedBody { buf, deflated }).ok()
     }
 }
--- a/crates/lilaccrank-http/src/peer_server.rs
+++ b/crates/lilaccrank-http/src/peer_server.rs
@@ -18,7 +18,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::packing::{self, Packed};
+use crate::compression::{self, EncodedBody};
 use crate::tally::{Counted, Tally};
 
 /// Accepts peers' connections for as long as the daemon runs; what passes is counted in `tally`.
@@ -53,7 +53,7 @@
     let mut encoder = GenericEncoder::new(Counted::new(w, tally.clone()));
     let mut decoder = RequestDecoder::new(Counted::new(r, tally.clone()));
     while let Some(Ok(req)) = decoder.next().await {
-        let deflated = packing::is_marked(req.headers());
+        let deflated = compression::is_deflated(req.headers());
         let Payload::Fixed(mut payload) = Request::into_body(req) else {
             return;
         };
@@ -64,7 +64,7 @@
             return;
         };
         let buf = body.into();
-        let Ok(body) = packing::unpack(Packed { buf, deflated }) else {
+        let Ok(body) = compression::decompress(EncodedBody { buf, deflated }) else {
             return;
         };
         let res = answer(&body, &tally, &handler).await;
@@ -90,9 +90,9 @@
             return respond(StatusCode::BAD_REQUEST, Vec::new());
         }
     };
-    tally.receive_messages(reqs.len());
+    tally.count_received_messages(reqs.len());
     let replies = future::join_all(reqs.into_iter().map(handler)).await;
-    tally.send_messages(replies.len());
+    tally.count_sent_messages(replies.len());
     match rmp_serde::to_vec_named(&replies) {
         Ok(buf) => respond(StatusCode::OK, buf),
         Err(e) => {
@@ -103,12 +103,12 @@
 }
 
 fn respond(status: StatusCode, buf: Vec<u8>) -> Response {
-    let packed = packing::pack(buf);
-    let payload = FixedPayload::<Bytes, HttpError>::new(packed.buf.into());
+    let encoded = compression::compress(buf);
+    let payload = FixedPayload::<Bytes, HttpError>::new(encoded.buf.into());
     let mut res = Response::new(Payload::Fixed(payload));
     *res.status_mut() = status;
-    if packed.deflated {
-        packing::mark(res.headers_mut());
+    if encoded.deflated {
+        compression::set_deflated(res.headers_mut());
     }
     res
 }
--- a/crates/lilaccrank-http/src/server.rs
+++ b/crates/lilaccrank-http/src/server.rs
@@ -20,15 +20,15 @@
 use monoio_compat::hyper::{MonoioIo, MonoioTimer};
 
 use crate::body::Body;
-use crate::head_pace::{HeadPace, Paced, PacedBody};
+use crate::head_timer::{GuardedBody, HeadTimer, TimedIo};
 
 /// Result of listening.
 pub type Result<T, E = io::Error> = std::result::Result<T, E>;
 
 /// Smallest buffer that the library takes for a head.
-const HEAD_FLOOR: usize = 8 * 1024;
+const MIN_HEAD_BUFFER: usize = 8 * 1024;
 /// Wait after a failed accept, which mostly means that no descriptor is free.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What a caller may send in a head, and how long it may take.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -36,9 +36,9 @@
     /// Largest head in bytes.
     pub head_bytes: usize,
     /// Longest time from the first byte of a head to its last.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Longest time without a request on an open connection.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for HeadLimits {
@@ -47,32 +47,32 @@
     fn default() -> Self {
         Self {
             head_bytes: 64 * 1024,
-            head_time: Duration::from_secs(10),
-            idle: Duration::from_secs(10),
+            head_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(10),
         }
     }
 }
 
 /// Tells a server to finish what it has and counts what is still open.
 #[derive(Clone, Default)]
-pub struct Closing {
-    inner: Rc<ClosingInner>,
+pub struct ShutdownHandle {
+    inner: Rc<ShutdownState>,
 }
 
 #[derive(Default)]
-struct ClosingInner {
+struct ShutdownState {
     changed: Event,
     closing: Cell<bool>,
     connections: Cell<usize>,
-    winding_down: Cell<bool>,
+    draining: Cell<bool>,
 }
 
-impl Closing {
+impl ShutdownHandle {
     /// From now on each connection ends with its next answer, which says so. Connections are
     /// still accepted, and those that rest are left to their callers: one that is closed from
     /// this side could have the next request on its way already.
-    pub fn wind_down(&self) {
-        self.inner.winding_down.set(true);
+    pub fn drain(&self) {
+        self.inner.draining.set(true);
     }
 
     /// Takes no new connections; the open ones end after the answer in progress.
@@ -87,7 +87,7 @@
         self.inner.connections.get()
     }
 
-    async fn closed(&self) {
+    async fn wait_for_close(&self) {
         while !self.inner.closing.get() {
             let listener = self.inner.changed.listen();
             if !self.inner.closing.get() {
@@ -112,19 +112,19 @@
 
 /// Accepts connections until `closing` is set. The handler's future is dropped when its caller
 /// goes away.
-pub async fn serve<H, F>(listener: TcpListener, closing: Closing, handler: H)
+pub async fn serve<H, F>(listener: TcpListener, shutdown: ShutdownHandle, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
     let limits = Rc::new(Cell::new(HeadLimits::default()));
-    serve_within(listener, closing, limits, handler).await;
+    serve_with_limits(listener, shutdown, limits, handler).await;
 }
 
 /// Like [`serve`], with limits that may change; each connection keeps those of its start.
-pub async fn serve_within<H, F>(
+pub async fn serve_with_limits<H, F>(
     listener: TcpListener,
-    closing: Closing,
+    shutdown: ShutdownHandle,
     limits: Rc<Cell<HeadLimits>>,
     handler: H,
 ) where
@@ -132,7 +132,7 @@
     F: Future<Output = Response<Body>> + 'static,
 {
     loop {
-        let closed = closing.closed();
+        let closed = shutdown.wait_for_close();
         pin_mut!(closed);
         let accept = listener.accept();
         pin_mut!(accept);
@@ -141,36 +141,40 @@
                 let handler = handler.clone();
                 monoio::spawn(serve_connection(
                     stream,
-                    closing.clone(),
+                    shutdown.clone(),
                     limits.get(),
                     handler,
                 ));
             }
             Either::Left((Err(e), _)) => {
                 log::warn!("accept failed: {e}");
-                monoio::time::sleep(ACCEPT_AGAIN).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
             Either::Right(_) => return,
         }
     }
 }
 
-async fn serve_connection<H, F>(stream: TcpStream, closing: Closing, limits: HeadLimits, handler: H)
-where
+async fn serve_connection<H, F>(
+    stream: TcpStream,
+    shutdown: ShutdownHandle,
+    limits: HeadLimits,
+    handler: H,
+) where
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    let count = &closing.inner.connections;
+    let count = &shutdown.inner.connections;
     count.set(count.get() + 1);
-    if let Err(e) = drive(stream, &closing, limits, handler).await {
+    if let Err(e) = run_connection(stream, &shutdown, limits, handler).await {
         log::debug!("connection ended: {e}");
     }
     count.set(count.get() - 1);
 }
 
-async fn drive<H, F>(
+async fn run_connection<H, F>(
     stream: TcpStream,
-    closing: &Closing,
+    shutdown: &ShutdownHandle,
     limits: HeadLimits,
     handler: H,
 ) -> Result<(), crate::body::BoxError>
@@ -180,30 +184,30 @@
 {
     stream.set_nodelay(true)?;
     let io = MonoioIo::new(monoio::io::IntoPollIo::into_poll_io(stream)?);
-    let pace = HeadPace::default();
-    let io = Paced::new(io, pace.clone());
+    let head_timer = HeadTimer::default();
+    let io = TimedIo::new(io, head_timer.clone());
     let service = service::service_fn(|req| {
-        let in_request = pace.request();
+        let guard = head_timer.begin_request();
         let answer = handler(req);
         async move {
             let mut res = answer.await;
-            if closing.inner.winding_down.get() {
+            if shutdown.inner.draining.get() {
                 let close = HeaderValue::from_static("close");
                 res.headers_mut().insert(CONNECTION, close);
             }
-            Ok::<_, Infallible>(res.map(|body| PacedBody::new(body, in_request)))
+            Ok::<_, Infallible>(res.map(|body| GuardedBody::new(body, guard)))
         }
     });
     let connection = http1::Builder::new()
         .timer(MonoioTimer)
-        .header_read_timeout(limits.idle)
-        .max_buf_size(limits.head_bytes.max(HEAD_FLOOR))
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER))
         .serve_connection(io, service);
     pin_mut!(connection);
-    let too_slow = pace.too_slow(limits.head_time);
-    let closed = closing.closed();
-    pin_mut!(closed, too_slow);
-    let ending = future::select(closed, too_slow);
+    let timed_out = head_timer.timed_out(limits.head_timeout);
+    let closed = shutdown.wait_for_close();
+    pin_mut!(closed, timed_out);
+    let ending = future::select(closed, timed_out);
     let result = match future::select(connection.as_mut(), ending).await {
         Either::Left((result, _)) => result,
         Either::Right((Either::Left(_), _)) => {
--- a/crates/lilaccrank-http/src/store_client.rs
+++ b/crates/lilaccrank-http/src/store_client.rs
@@ -16,11 +16,11 @@
 use crate::tally::Tally;
 
 /// Name of the header that carries a version.
-pub const VERSION: &str = "version";
+pub const VERSION_HEADER: &str = "version";
 /// Name of the header that asks for a version.
-pub const IF_VERSION: &str = "if-version";
+pub const IF_VERSION_HEADER: &str = "if-version";
 /// Name of the header that asks for absence.
-pub const IF_ABSENT: &str = "if-absent";
+pub const IF_ABSENT_HEADER: &str = "if-absent";
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -38,15 +38,15 @@
     /// A client of the store at `address` (IP number and port).
     #[must_use]
     pub fn new(address: String) -> Self {
-        Self::counted(address, Tally::default())
+        Self::with_tally(address, Tally::default())
     }
 
     /// Like [`new`](Self::new); what passes is counted in `tally`.
     #[must_use]
-    pub fn counted(address: String, tally: Tally) -> Self {
+    pub fn with_tally(address: String, tally: Tally) -> Self {
         Self {
             address,
-            client: Client::counted(tally),
+            client: Client::with_tally(tally),
         }
     }
 
@@ -59,7 +59,7 @@
         let req = request(Method::GET, path.to_owned(), Expect::Any, Bytes::new());
         let (res, bytes) = self.exchange(req, HEAD_TIMEOUT).await?;
         // The body of a refusal could pass for a list of nothing.
-        written(&res)?;
+        check_status(&res)?;
         Ok(bytes)
     }
 
@@ -70,12 +70,12 @@
     ) -> store::Result<(Response<()>, Bytes)> {
         let limits = Limits {
             connect: CONNECT_TIMEOUT,
-            rest: client::PROVED_FOR,
+            max_idle: client::MAX_IDLE,
             head,
         };
         let sent = self.client.send(&self.address, req, limits).await;
         let (res, connection) = sent.map_err(|e| {
-            if e.sent_nothing() {
+            if e.is_unsent() {
                 store::Error::Unavailable
             } else {
                 store::Error::Unknown
@@ -94,25 +94,25 @@
 
 impl Store for StoreClient {
     async fn get(&self, key: &str) -> store::Result<Option<Versioned>> {
-        let req = request(Method::GET, object(key), Expect::Any, Bytes::new());
+        let req = request(Method::GET, object_path(key), Expect::Any, Bytes::new());
         let (res, value) = self.exchange(req, HEAD_TIMEOUT).await?;
-        found(&res, value)
+        parse_object(&res, value)
     }
 
     async fn put(&self, key: &str, value: Bytes, expect: Expect) -> store::Result<Version> {
         if value.len() > store::VALUE_LIMIT {
             return Err(store::Error::TooLarge { size: value.len() });
         }
-        let req = request(Method::PUT, object(key), expect, value);
+        let req = request(Method::PUT, object_path(key), expect, value);
         let (res, _) = self.exchange(req, HEAD_TIMEOUT).await?;
-        written(&res)?;
+        check_status(&res)?;
         version(&res).ok_or(store::Error::Unknown)
     }
 
     async fn delete(&self, key: &str, expect: Expect) -> store::Result<()> {
-        let req = request(Method::DELETE, object(key), expect, Bytes::new());
+        let req = request(Method::DELETE, object_path(key), expect, Bytes::new());
         let (res, _) = self.exchange(req, HEAD_TIMEOUT).await?;
-        written(&res)
+        check_status(&res)
     }
 
     async fn watch(
@@ -128,11 +128,11 @@
         if res.status() == StatusCode::NOT_MODIFIED {
             return self.get(key).await;
         }
-        found(&res, value)
+        parse_object(&res, value)
     }
 }
 
-fn object(key: &str) -> String {
+fn object_path(key: &str) -> String {
     format!("/v1/objects/{key}")
 }
 
@@ -147,18 +147,23 @@
     );
     match expect {
         Expect::Absent => {
-            headers.insert(IF_ABSENT, 1.into());
+            headers.insert(IF_ABSENT_HEADER, 1.into());
         }
         Expect::Any => {}
         Expect::Version(version) => {
-            headers.insert(IF_VERSION, version.into());
+            headers.insert(IF_VERSION_HEADER, version.into());
         }
     }
     req
 }
 
 fn version(res: &Response<()>) -> Option<Version> {
-    res.headers().get(VERSION)?.to_str().ok()?.parse().ok()
+    res.headers()
+        .get(VERSION_HEADER)?
+        .to_str()
+        .ok()?
+        .parse()
+        .ok()
 }
 
 fn retry_after(res: &Response<()>) -> Duration {
@@ -168,16 +173,16 @@
         .map_or(DEFAULT_RETRY_AFTER, Duration::from_secs)
 }
 
-fn found(res: &Response<()>, value: Bytes) -> store::Result<Option<Versioned>> {
+fn parse_object(res: &Response<()>, value: Bytes) -> store::Result<Option<Versioned>> {
     if res.status() == StatusCode::NOT_FOUND {
         return Ok(None);
     }
-    written(res)?;
+    check_status(res)?;
     let version = version(res).ok_or(store::Error::Unknown)?;
     Ok(Some(Versioned { value, version }))
 }
 
-fn written(res: &Response<()>) -> store::Result<()> {
+fn check_status(res: &Response<()>) -> store::Result<()> {
     match res.status() {
         status if status.is_success() => Ok(()),
         StatusCode::PRECONDITION_FAILED => Err(store::Error::Conflict {
--- a/crates/lilaccrank-http/src/tally.rs
+++ b/crates/lilaccrank-http/src/tally.rs
@@ -11,11 +11,11 @@
 use monoio::io::{AsyncReadRent, AsyncWriteRent};
 
 /// Room for one counted read of hyper's.
-const READ_SIZE: usize = 8 << 10;
+const READ_BUFFER_SIZE: usize = 8 << 10;
 
 /// Bytes and messages in one direction.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Passed {
+pub struct Totals {
     /// Bytes of the transport's payload, heads of HTTP included, TCP, UDP and IP not.
     pub bytes: u64,
     /// Messages; a batch counts each of its messages.
@@ -30,47 +30,47 @@
 
 #[derive(Debug, Default)]
 struct Counts {
-    received: Cell<Passed>,
-    sent: Cell<Passed>,
+    received: Cell<Totals>,
+    sent: Cell<Totals>,
 }
 
 impl Tally {
     /// What came in.
     #[must_use]
-    pub fn received(&self) -> Passed {
+    pub fn received(&self) -> Totals {
         self.counts.received.get()
     }
 
     /// What went out.
     #[must_use]
-    pub fn sent(&self) -> Passed {
+    pub fn sent(&self) -> Totals {
         self.counts.sent.get()
     }
 
     /// Counts bytes in.
-    pub fn receive_bytes(&self, bytes: usize) {
+    pub fn count_received_bytes(&self, bytes: usize) {
         add(&self.counts.received, bytes, 0);
     }
 
     /// Counts messages in.
-    pub fn receive_messages(&self, messages: usize) {
+    pub fn count_received_messages(&self, messages: usize) {
         add(&self.counts.received, 0, messages);
     }
 
     /// Counts bytes out.
-    pub fn send_bytes(&self, bytes: usize) {
+    pub fn count_sent_bytes(&self, bytes: usize) {
         add(&self.counts.sent, bytes, 0);
     }
 
     /// Counts messages out.
-    pub fn send_messages(&self, messages: usize) {
+    pub fn count_sent_messages(&self, messages: usize) {
         add(&self.counts.sent, 0, messages);
     }
 }
 
-fn add(count: &Cell<Passed>, bytes: usize, messages: usize) {
+fn add(count: &Cell<Totals>, bytes: usize, messages: usize) {
     let before = count.get();
-    count.set(Passed {
+    count.set(Totals {
         bytes: before.bytes + bytes as u64,
         messages: before.messages + messages as u64,
     });
@@ -91,13 +91,15 @@
 impl<T: AsyncReadRent> AsyncReadRent for Counted<T> {
     async fn read<B: IoBufMut>(&mut self, buf: B) -> BufResult<usize, B> {
         let (read, buf) = self.io.read(buf).await;
-        self.tally.receive_bytes(*read.as_ref().unwrap_or(&0));
+        self.tally
+            .count_received_bytes(*read.as_ref().unwrap_or(&0));
         (read, buf)
     }
 
     async fn readv<B: IoVecBufMut>(&mut self, buf: B) -> BufResult<usize, B> {
         let (read, buf) = self.io.readv(buf).await;
-        self.tally.receive_bytes(*read.as_ref().unwrap_or(&0));
+        self.tally
+            .count_received_bytes(*read.as_ref().unwrap_or(&0));
         (read, buf)
     }
 }
@@ -105,13 +107,13 @@
 impl<T: AsyncWriteRent> AsyncWriteRent for Counted<T> {
     async fn write<B: IoBuf>(&mut self, buf: B) -> BufResult<usize, B> {
         let (written, buf) = self.io.write(buf).await;
-        self.tally.send_bytes(*written.as_ref().unwrap_or(&0));
+        self.tally.count_sent_bytes(*written.as_ref().unwrap_or(&0));
         (written, buf)
     }
 
     async fn writev<B: IoVecBuf>(&mut self, buf: B) -> BufResult<usize, B> {
         let (written, buf) = self.io.writev(buf).await;
-        self.tally.send_bytes(*written.as_ref().unwrap_or(&0));
+        self.tally.count_sent_bytes(*written.as_ref().unwrap_or(&0));
         (written, buf)
     }
 
@@ -131,13 +133,13 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         // The cursor lends itself only by value, so the bytes pass through a buffer of our own.
-        let mut own = [0; READ_SIZE];
-        let room = buf.remaining().min(READ_SIZE);
-        let mut part = hyper::rt::ReadBuf::new(&mut own[..room]);
-        let polled = Pin::new(&mut self.io).poll_read(cx, part.unfilled());
+        let mut buffer = [0; READ_BUFFER_SIZE];
+        let capacity = buf.remaining().min(READ_BUFFER_SIZE);
+        let mut read_buf = hyper::rt::ReadBuf::new(&mut buffer[..capacity]);
+        let polled = Pin::new(&mut self.io).poll_read(cx, read_buf.unfilled());
         if let Poll::Ready(Ok(())) = polled {
-            self.tally.receive_bytes(part.filled().len());
-            buf.put_slice(part.filled());
+            self.tally.count_received_bytes(read_buf.filled().len());
+            buf.put_slice(read_buf.filled());
         }
         polled
     }
@@ -151,7 +153,7 @@
     ) -> Poll<std::io::Result<usize>> {
         let polled = Pin::new(&mut self.io).poll_write(cx, buf);
         if let Poll::Ready(Ok(written)) = polled {
-            self.tally.send_bytes(written);
+            self.tally.count_sent_bytes(written);
         }
         polled
     }
--- a/crates/lilaccrank-http/tests/suite.rs
+++ b/crates/lilaccrank-http/tests/suite.rs
@@ -2,9 +2,9 @@
 
 #[path = "suite/client.rs"]
 mod client;
+#[path = "suite/compression.rs"]
+mod compression;
 #[path = "suite/events.rs"]
 mod events;
-#[path = "suite/packing.rs"]
-mod packing;
 #[path = "suite/server.rs"]
 mod server;
--- a/crates/lilaccrank-http/tests/suite/packing.rs
+++ b/crates/lilaccrank-http/tests/suite/compression.rs
@@ -1,16 +1,16 @@
 //! Bodies between daemons come out as they went in, smaller on the way where that pays.
 
-use lilaccrank_http::packing::{self, Packed};
+use lilaccrank_http::compression::{self, EncodedBody};
 use quickcheck::quickcheck;
 
 quickcheck! {
-    fn comes_out_as_it_went_in(buf: Vec<u8>, times: u8) -> bool {
+    fn decompression_restores_the_body(buf: Vec<u8>, times: u8) -> bool {
         let buf = buf.repeat(usize::from(times));
-        packing::unpack(packing::pack(buf.clone())).unwrap() == buf
+        compression::decompress(compression::compress(buf.clone())).unwrap() == buf
     }
 
-    fn damaged_bytes_are_no_panic(buf: Vec<u8>) -> bool {
-        packing::unpack(Packed { buf, deflated: true }).is_err()
+    fn corrupt_input_is_an_error(buf: Vec<u8>) -> bool {
+        compression::decompress(EncodedBody { buf, deflated: true }).is_err()
     }
 }
 
@@ -20,20 +20,20 @@
 }
 
 #[test]
-fn a_section_of_customers_shrinks() {
+fn repetitive_body_is_compressed() {
     let buf = customers(200);
-    let packed = packing::pack(buf.clone());
-    assert!(packed.deflated);
-    assert!(packed.buf.len() * 2 < buf.len());
+    let encoded = compression::compress(buf.clone());
+    assert!(encoded.deflated);
+    assert!(encoded.buf.len() * 2 < buf.len());
 }
 
 #[test]
-fn small_and_large_bodies_stay_as_they_are() {
+fn small_and_large_bodies_are_not_compressed() {
     for buf in [customers(10), customers(10_000)] {
-        let packed = packing::pack(buf.clone());
+        let encoded = compression::compress(buf.clone());
         assert_eq!(
-            packed,
-            Packed {
+            encoded,
+            EncodedBody {
                 buf,
                 deflated: false
             }
@@ -43,14 +43,14 @@
 
 // A few bytes that claim to be 64 MB of zeros end with an error, not with 64 MB.
 #[test]
-fn a_body_that_grows_too_large_is_an_error() {
+fn decompression_bomb_is_an_error() {
     let mut encoder = flate2::write::ZlibEncoder::new(Vec::new(), flate2::Compression::best());
     std::io::Write::write_all(&mut encoder, &vec![0; 64 << 20]).unwrap();
     let buf = encoder.finish().unwrap();
     assert!(buf.len() < 1 << 18);
-    let bomb = Packed {
+    let bomb = EncodedBody {
         buf,
         deflated: true,
     };
-    assert!(packing::unpack(bomb).is_err());
+    assert!(compression::decompress(bomb).is_err());
 }
--- a/crates/lilaccrank-http/tests/suite/server.rs
+++ b/crates/lilaccrank-http/tests/suite/server.rs
@@ -11,22 +11,22 @@
 use hyper::Response;
 use lilaccrank_http::body;
 use lilaccrank_http::runtime;
-use lilaccrank_http::server::{self, Closing, HeadLimits};
+use lilaccrank_http::server::{self, HeadLimits, ShutdownHandle};
 
 const HEAD: &str = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 const LIMITS: HeadLimits = HeadLimits {
     head_bytes: 8 << 10,
-    head_time: Duration::from_millis(200),
-    idle: Duration::from_millis(900),
+    head_timeout: Duration::from_millis(200),
+    idle_timeout: Duration::from_millis(900),
 };
 
 /// Serves while a caller's thread runs.
-fn serve(closing: &Closing, caller: impl FnOnce(SocketAddr) + Send + 'static) {
+fn serve(shutdown: &ShutdownHandle, caller: impl FnOnce(SocketAddr) + Send + 'static) {
     runtime::block_on(async {
         let listener = server::bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let limits = Rc::new(Cell::new(LIMITS));
-        let serving = server::serve_within(listener, closing.clone(), limits, |_| async {
+        let serving = server::serve_with_limits(listener, shutdown.clone(), limits, |_| async {
             Response::new(body::full("whole"))
         });
         monoio::spawn(serving);
@@ -51,7 +51,7 @@
 }
 
 /// Sends a whole request; the answer as text, empty if the connection has ended.
-fn ask(stream: &mut TcpStream) -> String {
+fn request(stream: &mut TcpStream) -> String {
     if stream.write_all(HEAD.as_bytes()).is_err() {
         return String::new();
     }
@@ -67,22 +67,22 @@
 // balancer do between two requests. A timeout that runs from the last answer would close the
 // connection under its next request.
 #[test]
-fn a_resting_connection_is_no_slow_head() {
-    serve(&Closing::default(), |address| {
+fn idle_connection_outlives_head_timeout() {
+    serve(&ShutdownHandle::default(), |address| {
         let mut stream = connect(address);
-        assert!(ask(&mut stream).contains("200 OK"));
-        thread::sleep(LIMITS.head_time * 3);
-        assert!(ask(&mut stream).contains("200 OK"));
+        assert!(request(&mut stream).contains("200 OK"));
+        thread::sleep(LIMITS.head_timeout * 3);
+        assert!(request(&mut stream).contains("200 OK"));
     });
 }
 
 // A caller sends its head byte by byte and holds a connection for as long as it likes. The time
 // runs from the first byte.
 #[test]
-fn a_slow_head_ends_its_connection() {
-    serve(&Closing::default(), |address| {
+fn slow_head_closes_connection() {
+    serve(&ShutdownHandle::default(), |address| {
         let mut stream = connect(address);
-        assert!(ask(&mut stream).contains("200 OK"));
+        assert!(request(&mut stream).contains("200 OK"));
         let begun = Instant::now();
         let mut cut = false;
         for byte in HEAD.as_bytes() {
@@ -97,21 +97,21 @@
 
 // A connection on which nothing comes is closed in the end.
 #[test]
-fn a_connection_does_not_rest_for_ever() {
-    serve(&Closing::default(), |address| {
+fn idle_connection_is_closed() {
+    serve(&ShutdownHandle::default(), |address| {
         let mut stream = connect(address);
-        assert!(ask(&mut stream).contains("200 OK"));
+        assert!(request(&mut stream).contains("200 OK"));
         let mut buf = [0; 64];
         let begun = Instant::now();
         assert_eq!(stream.read(&mut buf).unwrap_or(0), 0);
-        assert!(begun.elapsed() >= LIMITS.idle / 2);
+        assert!(begun.elapsed() >= LIMITS.idle_timeout / 2);
     });
 }
 
 // A head that is too large is refused with a word, and hurts nobody else.
 #[test]
-fn a_large_head_is_refused() {
-    serve(&Closing::default(), |address| {
+fn oversized_head_is_refused() {
+    serve(&ShutdownHandle::default(), |address| {
         let mut stream = connect(address);
         let head = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "x".repeat(32 << 10));
         // The answer may come, and end the connection, before all of it is sent.
@@ -120,23 +120,23 @@
         let read = stream.read(&mut buf).unwrap_or(0);
         let answer = String::from_utf8_lossy(&buf[..read]).into_owned();
         assert!(answer.is_empty() || answer.contains("431"), "{answer}");
-        assert!(ask(&mut connect(address)).contains("200 OK"));
+        assert!(request(&mut connect(address)).contains("200 OK"));
     });
 }
 
 // A daemon is told to end. A caller sends on its open connection just then: it is served, and told
 // not to send more there. Closed from this side, the connection could have had the request on it.
 #[test]
-fn winding_down_answers_and_says_so() {
-    let closing = Closing::default();
-    closing.wind_down();
-    serve(&closing, |address| {
+fn draining_sends_connection_close() {
+    let shutdown = ShutdownHandle::default();
+    shutdown.drain();
+    serve(&shutdown, |address| {
         let mut stream = connect(address);
-        let answer = ask(&mut stream);
+        let answer = request(&mut stream);
         assert!(
             answer.contains("200 OK") && answer.contains("connection: close"),
             "{answer}"
         );
-        assert_eq!(ask(&mut stream), "");
+        assert_eq!(request(&mut stream), "");
     });
 }
--- a/crates/lilaccrank-lab/src/caller.rs
+++ b/crates/lilaccrank-lab/src/caller.rs
@@ -82,8 +82,8 @@
     let begun = Instant::now();
     let limits = Limits {
         connect: CONNECT_TIMEOUT,
-        rest: match call.keep {
-            true => client::PROVED_FOR,
+        max_idle: match call.keep {
+            true => client::MAX_IDLE,
             false => Duration::ZERO,
         },
         head: Duration::from_secs(120),
--- a/crates/lilaccrank-lab/src/cluster/calls.rs
+++ b/crates/lilaccrank-lab/src/cluster/calls.rs
@@ -97,7 +97,7 @@
         }
         let limits = Limits {
             connect: Duration::from_secs(1),
-            rest: Duration::ZERO,
+            max_idle: Duration::ZERO,
             head: Duration::from_secs(10),
         };
         let sent = self.client.send(address, req, limits).await;
--- a/crates/lilaccrank-lab/src/overhead/plain.rs
+++ b/crates/lilaccrank-lab/src/overhead/plain.rs
@@ -22,7 +22,7 @@
 const ANSWER_LIMIT: usize = 1 << 16;
 const LIMITS: Limits = Limits {
     connect: Duration::from_secs(1),
-    rest: client::PROVED_FOR,
+    max_idle: client::MAX_IDLE,
     head: Duration::from_secs(10),
 };
 
--- a/crates/lilaccrank-lab/src/overhead/tokens.rs
+++ b/crates/lilaccrank-lab/src/overhead/tokens.rs
@@ -89,7 +89,7 @@
         };
         let limits = Limits {
             connect: Duration::from_secs(1),
-            rest: Duration::ZERO,
+            max_idle: Duration::ZERO,
             head: Duration::from_secs(10),
         };
         let begun = Instant::now();
--- a/crates/lilaccrank-lab/src/platform.rs
+++ b/crates/lilaccrank-lab/src/platform.rs
@@ -205,7 +205,8 @@
         let change = monoio::time::timeout(wait, self.changed_from(key, seen)).await;
         change.unwrap_or_else(|_| {
             let mut res = reply::empty(StatusCode::NOT_MODIFIED);
-            res.headers_mut().insert(store_client::VERSION, seen.into());
+            res.headers_mut()
+                .insert(store_client::VERSION_HEADER, seen.into());
             res
         })
     }
--- a/crates/lilaccrank-lab/src/platform/objects.rs
+++ b/crates/lilaccrank-lab/src/platform/objects.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use lilaccrank::store::{Expect, Version, Versioned};
 use lilaccrank_http::body::{self, Body};
-use lilaccrank_http::store_client::{IF_ABSENT, IF_VERSION, VERSION};
+use lilaccrank_http::store_client::{IF_ABSENT_HEADER, IF_VERSION_HEADER, VERSION_HEADER};
 use serde::Serialize;
 
 use crate::reply::{self, Result};
@@ -15,13 +15,13 @@
 
 impl Condition {
     pub(super) fn of(headers: &HeaderMap) -> Result<Self> {
-        if headers.contains_key(IF_ABSENT) {
+        if headers.contains_key(IF_ABSENT_HEADER) {
             return Ok(Self(Expect::Absent));
         }
-        if !headers.contains_key(IF_VERSION) {
+        if !headers.contains_key(IF_VERSION_HEADER) {
             return Ok(Self(Expect::Any));
         }
-        let version = reply::header(headers, IF_VERSION).and_then(|text| text.parse().ok());
+        let version = reply::header(headers, IF_VERSION_HEADER).and_then(|text| text.parse().ok());
         version.map(|v| Self(Expect::Version(v))).ok_or_else(|| {
             let message = "If-Version is not a version";
             Box::new(reply::error(StatusCode::BAD_REQUEST, message))
@@ -108,7 +108,7 @@
 
 fn at_version(mut res: Response<Body>, version: Option<Version>) -> Response<Body> {
     if let Some(version) = version {
-        res.headers_mut().insert(VERSION, version.into());
+        res.headers_mut().insert(VERSION_HEADER, version.into());
     }
     res
 }
--- a/crates/lilaccrank-lab/src/stand_in.rs
+++ b/crates/lilaccrank-lab/src/stand_in.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use hyper::{Request, Response};
 use lilaccrank_http::body::Body;
-use lilaccrank_http::server::{self, Closing};
+use lilaccrank_http::server::{self, ShutdownHandle};
 use serde::Serialize;
 
 /// Result of running a stand-in.
@@ -66,7 +66,7 @@
     {
         let listener = server::bind(self.listen)?;
         self.announce(listener.local_addr()?, None)?;
-        server::serve(listener, Closing::default(), handler).await;
+        server::serve(listener, ShutdownHandle::default(), handler).await;
         Ok(())
     }
 }
--- a/crates/lilaccrank-lab/src/wire.rs
+++ b/crates/lilaccrank-lab/src/wire.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Response, StatusCode};
 use lilaccrank_http::body::Body;
 use lilaccrank_http::runtime;
-use lilaccrank_http::server::{self, Closing};
+use lilaccrank_http::server::{self, ShutdownHandle};
 use serde::Deserialize;
 
 use crate::notify::Notify;
@@ -115,7 +115,7 @@
             monoio::spawn(entry.run());
         }
         let handler = move |req| handle(Rc::clone(&wire), req);
-        server::serve(control, Closing::default(), handler).await;
+        server::serve(control, ShutdownHandle::default(), handler).await;
         Ok(())
     })?
 }
--- a/crates/lilaccrank-lab/tests/suite/caller.rs
+++ b/crates/lilaccrank-lab/tests/suite/caller.rs
@@ -13,7 +13,7 @@
 
 const LIMITS: Limits = Limits {
     connect: Duration::from_secs(2),
-    rest: Duration::ZERO,
+    max_idle: Duration::ZERO,
     head: Duration::from_secs(20),
 };
 const BODY_LIMIT: usize = 1 << 20;
--- a/crates/lilaccrankd/src/callers/entry.rs
+++ b/crates/lilaccrankd/src/callers/entry.rs
@@ -237,7 +237,7 @@
             Err(refusal) => {
                 let reason = "the answer broke off";
                 return match protocol.error_chunk(&refusal) {
-                    Some(last) => body::break_off(tx, last, reason).await,
+                    Some(last) => body::send_and_abort(tx, last, reason).await,
                     None => tx.abort(reason.into()),
                 };
             }
--- a/crates/lilaccrankd/src/daemon.rs
+++ b/crates/lilaccrankd/src/daemon.rs
@@ -155,8 +155,8 @@
             timeline.clone(),
             Rc::clone(&traffic),
         );
-        let report_client = Client::counted(traffic.target_reports.clone());
-        let platform = StoreClient::counted(cfg.platform.to_string(), traffic.store.clone());
+        let report_client = Client::with_tally(traffic.target_reports.clone());
+        let platform = StoreClient::with_tally(cfg.platform.to_string(), traffic.store.clone());
         let guards = guarded_store::Settings::default();
         let store = GuardedStore::new(guards, platform.clone(), MonoioClock);
         let keeper = KeyOwner::new(
@@ -367,8 +367,8 @@
 fn head_limits(configured: Option<CallerLimits>) -> HeadLimits {
     configured.map_or_else(HeadLimits::default, |limits| HeadLimits {
         head_bytes: limits.head_bytes,
-        head_time: Duration::from_millis(limits.head_ms),
-        idle: Duration::from_millis(limits.idle_ms),
+        head_timeout: Duration::from_millis(limits.head_ms),
+        idle_timeout: Duration::from_millis(limits.idle_ms),
     })
 }
 
--- a/crates/lilaccrankd/src/peers/load_exchange.rs
+++ b/crates/lilaccrankd/src/peers/load_exchange.rs
@@ -269,8 +269,8 @@
 }
 
 fn note_sent(tally: &Tally, sent: usize) {
-    tally.send_bytes(sent);
-    tally.send_messages(1);
+    tally.count_sent_bytes(sent);
+    tally.count_sent_messages(1);
 }
 
 async fn receive(daemon: Rc<Daemon>, socket: Rc<UdpSocket>) {
@@ -284,8 +284,8 @@
             }
         };
         buf.truncate(len);
-        daemon.traffic.load_exchange.receive_bytes(len);
-        daemon.traffic.load_exchange.receive_messages(1);
+        daemon.traffic.load_exchange.count_received_bytes(len);
+        daemon.traffic.load_exchange.count_received_messages(1);
         let member = |from| daemon.load_exchange.member(&daemon.membership, from);
         match LoadMessage::read(&buf, from, member) {
             Ok((vm, message)) => apply(&daemon, &vm, message),
--- a/crates/lilaccrankd/src/peers/udp_gossip.rs
+++ b/crates/lilaccrankd/src/peers/udp_gossip.rs
@@ -33,15 +33,15 @@
         let (received, mut bytes) = self.socket.recv_from(vec![0; BUFFER_BYTES]).await;
         let (len, from) = received?;
         bytes.truncate(len);
-        self.tally.receive_bytes(len);
-        self.tally.receive_messages(1);
+        self.tally.count_received_bytes(len);
+        self.tally.count_received_messages(1);
         Ok(Datagram { bytes, from })
     }
 
     async fn send(&self, to: SocketAddr, bytes: Vec<u8>) -> datagrams::Result<()> {
         let (sent, _) = self.socket.send_to(bytes, to).await;
-        self.tally.send_bytes(sent?);
-        self.tally.send_messages(1);
+        self.tally.count_sent_bytes(sent?);
+        self.tally.count_sent_messages(1);
         Ok(())
     }
 }
--- a/crates/lilaccrankd/src/pools/poller.rs
+++ b/crates/lilaccrankd/src/pools/poller.rs
@@ -28,7 +28,7 @@
 /// Timeouts of one request.
 const LIMITS: Limits = Limits {
     connect: Duration::from_millis(300),
-    rest: client::PROVED_FOR,
+    max_idle: client::MAX_IDLE,
     head: Duration::from_millis(500),
 };
 /// Size limit of a report, in bytes.
--- a/crates/lilaccrankd/src/request/send.rs
+++ b/crates/lilaccrankd/src/request/send.rs
@@ -120,7 +120,7 @@
     /// can't be retried therefore uses a new connection, or one that has just served an answer.
     fn max_idle(&self, daemon: &Daemon) -> Duration {
         if self.is_retryable() {
-            client::PROVED_FOR
+            client::MAX_IDLE
         } else {
             Duration::from_millis(daemon.cfg.unrepeatable_rest_ms)
         }
--- a/crates/lilaccrankd/src/serve.rs
+++ b/crates/lilaccrankd/src/serve.rs
@@ -11,7 +11,7 @@
 use lilaccrank::membership;
 use lilaccrank::request_key::Ranking;
 use lilaccrank_http::monoio_clock::MonoioClock;
-use lilaccrank_http::server::Closing;
+use lilaccrank_http::server::ShutdownHandle;
 use lilaccrank_http::{peer_server, runtime, server};
 use monoio::net::TcpListener;
 use thiserror::Error;
@@ -113,7 +113,7 @@
     monoio::spawn(peer_server::serve(peer_listener, tally, move |req| {
         answer_peer(Rc::clone(&shared), req)
     }));
-    let admin_closing = Closing::default();
+    let admin_closing = ShutdownHandle::default();
     let (shared, asked) = (Rc::clone(&daemon), signals.clone());
     monoio::spawn(server::serve(
         admin_listener,
@@ -122,14 +122,16 @@
     ));
     if let Some(listener) = readiness_listener {
         let shared = Rc::clone(&daemon);
-        monoio::spawn(server::serve(listener, Closing::default(), move |_| {
-            future::ready(admin::readiness(&shared))
-        }));
+        monoio::spawn(server::serve(
+            listener,
+            ShutdownHandle::default(),
+            move |_| future::ready(admin::readiness(&shared)),
+        ));
     }
-    let closing = Closing::default();
+    let closing = ShutdownHandle::default();
     let shared = Rc::clone(&daemon);
     let limits = Rc::clone(&daemon.head_limits);
-    monoio::spawn(server::serve_within(
+    monoio::spawn(server::serve_with_limits(
         caller_listener,
         closing.clone(),
         limits,
--- a/crates/lilaccrankd/src/shutdown.rs
+++ b/crates/lilaccrankd/src/shutdown.rs
@@ -5,7 +5,7 @@
 use futures::future::{self, Either};
 use futures::pin_mut;
 use lilaccrank::timeline::{EventKind, Subject};
-use lilaccrank_http::server::Closing;
+use lilaccrank_http::server::ShutdownHandle;
 
 use crate::daemon::Daemon;
 use crate::signals::Signals;
@@ -18,7 +18,7 @@
 
 /// Takes nothing new and waits for what is in progress, within the limit or until a second
 /// signal comes. The servers are closed one after the other, the one for callers first.
-pub async fn run(daemon: &Daemon, servers: [&Closing; 2], signals: &Signals) {
+pub async fn run(daemon: &Daemon, servers: [&ShutdownHandle; 2], signals: &Signals) {
     daemon.leaving.set(true);
     let serving = Duration::from_millis(daemon.cfg.shutdown_serving_ms);
     daemon.refusing.set(serving.is_zero());
@@ -26,7 +26,7 @@
     daemon.membership.leave().await;
     // Callers come until the balancer has noticed, and on open connections: turned away, they
     // would lose time for nothing.
-    servers[0].wind_down();
+    servers[0].drain();
     monoio::time::sleep(serving).await;
     daemon.refusing.set(true);
     let done = finish(daemon, servers);
@@ -48,7 +48,7 @@
 
 /// Other daemons read held answers from the admin server for callers that repeated a key there.
 /// Ending while one is on its way would cut it at a caller that saw nothing of this shutdown.
-async fn finish(daemon: &Daemon, servers: [&Closing; 2]) {
+async fn finish(daemon: &Daemon, servers: [&ShutdownHandle; 2]) {
     while daemon.in_progress() > 0 {
         monoio::time::sleep(POLL).await;
     }
--- a/crates/lilaccrankd/src/targets/call.rs
+++ b/crates/lilaccrankd/src/targets/call.rs
@@ -29,7 +29,7 @@
 ) -> Result<(Response<Incoming>, Connection)> {
     let limits = Limits {
         connect: CONNECT_TIMEOUT,
-        rest: Duration::ZERO,
+        max_idle: Duration::ZERO,
         head,
     };
     let sent = client.send(address, req, limits).await;
@@ -41,7 +41,7 @@
         Error::Silent { .. } => ErrorKind::TargetSilent,
         Error::Connect { .. } | Error::Exchange { .. } => ErrorKind::TargetFailed,
     };
-    let ran = if e.sent_nothing() {
+    let ran = if e.is_unsent() {
         Executed::No
     } else {
         Executed::Maybe
--- a/crates/lilaccrankd/src/targets/engine_stream.rs
+++ b/crates/lilaccrankd/src/targets/engine_stream.rs
@@ -137,7 +137,7 @@
         let req = self.request(Method::DELETE, &self.stream_path(), body::empty());
         let limits = Limits {
             connect: CONNECT_TIMEOUT,
-            rest: client::PROVED_FOR,
+            max_idle: client::MAX_IDLE,
             head: RESUME_TIMEOUT,
         };
         if let Ok((_, connection)) = self.client.send(&self.address, req, limits).await {
--- a/crates/lilaccrankd/src/targets/forward.rs
+++ b/crates/lilaccrankd/src/targets/forward.rs
@@ -16,7 +16,7 @@
 use lilaccrank::error_kind::{ErrorKind, Executed};
 use lilaccrank_http::body::{self, Body};
 use lilaccrank_http::client::{self, Client, Connection, Limits};
-use lilaccrank_http::events::Cutter;
+use lilaccrank_http::events::EventSplitter;
 
 use crate::callers::end_to_end;
 use crate::callers::refusal::{REFUSAL, Refusal};
@@ -143,7 +143,7 @@
         let limits = Limits {
             connect: self.bounds.connect,
             head: self.bounds.first,
-            rest: self.rest,
+            max_idle: self.rest,
         };
         let sent = self.client.send(address, req, limits).await;
         let (res, connection) = sent.map_err(|e| unanswered(&e))?;
@@ -232,7 +232,7 @@
         delivered: &mut Delivered,
         sent_at: Instant,
     ) -> Result<()> {
-        let mut cutter = Cutter::default();
+        let mut cutter = EventSplitter::default();
         let mut event_count = 0;
         loop {
             let timeout = if event_count == 0 {
@@ -356,7 +356,7 @@
     };
     let mut unanswered = failed(kind, e.to_string());
     unanswered.refusal.connection_lost = e.is_connection_lost();
-    if e.sent_nothing() {
+    if e.is_unsent() {
         unanswered.failure = Failure::Unsent;
         unanswered.refusal.ran = Executed::No;
     }
--- a/crates/lilaccrankd/src/targets/live_list.rs
+++ b/crates/lilaccrankd/src/targets/live_list.rs
@@ -215,7 +215,7 @@
         .filter(|(_, target)| daemon.live_list.is_superseded(target))
     {
         log::info!(born = ended.started_ms, target_id = ended.id; "target restarted");
-        daemon.client.forget(&ended.address);
+        daemon.client.discard_connections(&ended.address);
     }
     let unusable = daemon.live_list.listing().unusable.len();
     let unusable = i64::try_from(unusable).unwrap_or(i64::MAX);
