--- a/crates/lilaccrank/src/dispatch.rs
+++ b/crates/lilaccrank/src/dispatch.rs
@@ -47,7 +47,9 @@
 
 use admission::Admission;
 use message::Verdict;
-use message::{Ask, AskNumber, CacheEvent, Cancel, Entry, LoadReport, Refuse, Report, Resync};
+use message::{
+    CacheEvent, Cancel, Entry, LoadReport, Refuse, Report, Resync, Submission, SubmissionNumber,
+};
 use rate_limit::Share;
 use sharing::Digest;
 use state::{State, WaiterId};
@@ -67,12 +69,13 @@
     pub incarnation: Incarnation,
     /// Lowest tier of the configuration, the only one shed during a handover.
     pub lowest_tier: Tier,
-    /// Minimum time without output after which a target with running requests counts as hung. Model
-    /// engines emit tokens continuously, but a plain service is silent while it works.
+    /// Minimum time without output after which a target with running requests counts as
+    /// unresponsive. Model engines emit tokens continuously, but a plain service is silent while it
+    /// works.
     pub min_hang_timeout: Duration,
     /// VM of this daemon.
     pub vm: VmId,
-    /// Maximum queue length in asks; [`Dispatcher::set_targets`] sets it from the pool.
+    /// Maximum queue length in submissions; [`Dispatcher::set_targets`] sets it from the pool.
     pub waiting_limit: usize,
 }
 
@@ -84,7 +87,7 @@
 }
 
 impl<C: Clock> Dispatcher<C> {
-    /// Creates a dispatcher without targets, which refuses every ask until it has some.
+    /// Creates a dispatcher without targets, which refuses every submission until it has some.
     #[must_use]
     pub fn new(clock: C, cfg: Config) -> Self {
         let state = State::new(cfg, clock.now());
@@ -94,18 +97,18 @@
         }
     }
 
-    /// Submits an ask and waits for its verdict. Dropping the future cancels the ask. A repeated
-    /// ask with a higher number replaces the earlier one; one with the same number gets the same
-    /// verdict.
-    pub async fn ask(&self, ask: Ask) -> Verdict {
-        let (request, number) = (ask.request.clone(), ask.ask);
-        let admission = self.state.borrow_mut().ask(ask, self.clock.now());
+    /// Submits a request and waits for its verdict. Dropping the future cancels the submission. A
+    /// repeated submission with a higher number replaces the earlier one; one with the same number
+    /// gets the same verdict.
+    pub async fn submit(&self, submission: Submission) -> Verdict {
+        let (request, number) = (submission.request.clone(), submission.submission);
+        let admission = self.state.borrow_mut().submit(submission, self.clock.now());
         let (id, rx) = match admission {
             Admission::Decided(verdict) => return verdict,
             Admission::Queued(id, rx) => (id, rx),
         };
         let mut guard = Guard {
-            ask: number,
+            submission: number,
             dispatcher: self,
             id,
             request,
@@ -118,7 +121,7 @@
         guard.rx = None;
         verdict.unwrap_or_else(|| {
             Verdict::Refuse(Refuse {
-                ask: number,
+                submission: number,
                 kind: ErrorKind::Cancelled,
                 request: guard.request.clone(),
                 retry_after: None,
@@ -127,11 +130,11 @@
         })
     }
 
-    /// Cancels an ask, whether it is waiting or already granted.
+    /// Cancels a submission, whether it is waiting or already granted.
     pub fn cancel(&self, cancel: &Cancel) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
-        state.cancel(&cancel.request, cancel.ask, now);
+        state.cancel(&cancel.request, cancel.submission, now);
     }
 
     /// Processes an entry daemon's report on a granted request.
@@ -182,7 +185,7 @@
         self.state.borrow_mut().begin_handover(expected, grace, now);
     }
 
-    /// Removes all asks and grants of an entry daemon that has failed.
+    /// Removes all submissions and grants of an entry daemon that has failed.
     pub fn forget_entry(&self, vm: &VmId, incarnation: Incarnation) {
         let entry = Entry {
             incarnation,
@@ -217,7 +220,7 @@
         self.state.borrow().status(self.clock.now())
     }
 
-    /// Number of asks in the queue.
+    /// Number of submissions in the queue.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.state.borrow().queue.len()
@@ -239,12 +242,12 @@
     }
 }
 
-/// Cancels an ask if its call is dropped.
+/// Cancels a submission if its call is dropped.
 ///
-/// Without it, the ask of a caller that has disconnected would still be granted, and would occupy a
-/// slot for a request that nobody sends.
+/// Without it, the submission of a caller that has disconnected would still be granted, and would
+/// occupy a slot for a request that nobody sends.
 struct Guard<'a, C: Clock> {
-    ask: AskNumber,
+    submission: SubmissionNumber,
     dispatcher: &'a Dispatcher<C>,
     id: WaiterId,
     request: RequestId,
@@ -259,7 +262,7 @@
         let now = self.dispatcher.clock.now();
         let mut state = self.dispatcher.state.borrow_mut();
         match rx.try_recv() {
-            Ok(Some(Verdict::Grant(_))) => state.cancel(&self.request, self.ask, now),
+            Ok(Some(Verdict::Grant(_))) => state.cancel(&self.request, self.submission, now),
             _ => state.abandon(&self.request, self.id, now),
         }
     }
--- a/crates/lilaccrank/src/dispatch/grants.rs
+++ b/crates/lilaccrank/src/dispatch/grants.rs
@@ -1,4 +1,4 @@
-//! Grants: which ask is next, and which target it gets.
+//! Grants: which submission is next, and which target it gets.
 
 use std::time::{Duration, Instant};
 
@@ -6,14 +6,15 @@
 use super::delay::DELAY_SCAN_LIMIT;
 use super::fair::Position;
 use super::message::{Entry, Unmeetable};
-use super::queue::{Lane, Priority};
+use super::queue::{Priority, SizeClass};
 use super::state::{ActiveGrant, State, Waiting, work};
 use super::work::Work;
 use crate::ids::RequestId;
 
 /// EWMA weight of a new sample in the cache miss ratio.
 const CACHE_MISS_GAIN: f64 = 0.05;
-/// Maximum number of asks tried in a lane whose asks differ in the targets they may use.
+/// Maximum number of submissions tried in a size class whose submissions differ in the targets they
+/// may use.
 const RESTRICTED_SCAN_LIMIT: usize = 32;
 /// Time after which an unconfirmed grant expires, because the entry daemon has failed or never
 /// received it. A late entry daemon may still use the grant: the target then runs one request more
@@ -21,7 +22,7 @@
 const GRANT_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl State {
-    /// Grants asks in order until none has an eligible target.
+    /// Grants submissions in order until none has an eligible target.
     pub(super) fn dispatch(&mut self, now: Instant) {
         if self.handover.is_some() {
             return;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Marks targets with running requests as hung if they have been silent for too long.
+    /// Marks targets with running requests as unresponsive if they have been silent for too long.
     pub(super) fn check_health(&mut self, now: Instant) {
         self.note_capacity_change();
         for target in self.targets.values_mut() {
@@ -87,12 +88,12 @@
 
     /// Records a grant and its load on the target.
     pub(super) fn reserve(&mut self, waiting: &Waiting, choice: &Choice, now: Instant) {
-        let ask = &waiting.ask;
+        let submission = &waiting.submission;
         let Some(target) = self.targets.get_mut(&choice.target) else {
             return;
         };
         let remaining_work = Work {
-            decode: work(ask).decode,
+            decode: work(submission).decode,
             prefill: choice.prefill,
         };
         self.grant_sequence += 1;
@@ -109,31 +110,32 @@
         Self::note_load_change(&mut self.sharing, target, now);
         target.long_prefills += u32::from(long_prefill);
         let active_grant = ActiveGrant {
-            ask: ask.ask,
+            submission: submission.submission,
             began: false,
-            partial_tokens: ask.partial.map_or(0, |partial| partial.tokens),
+            partial_tokens: submission.partial.map_or(0, |partial| partial.tokens),
             prefill_ahead: target.estimate.outstanding().prefill,
             counter_key: waiting.counter_key.clone(),
             entry: Entry {
-                incarnation: ask.entry_incarnation,
-                vm: ask.entry.clone(),
+                incarnation: submission.entry_incarnation,
+                vm: submission.entry.clone(),
             },
             expected: Duration::try_from_secs_f64(choice.earliest_completion)
                 .unwrap_or(Duration::MAX),
             granted: now,
             remaining_work,
             long_prefill,
-            max_tokens: ask.max_tokens,
-            inflight: ask.prefix.clone(),
+            max_tokens: submission.max_tokens,
+            inflight: submission.prefix.clone(),
             target: choice.target.clone(),
-            tokens: work(ask).tokens(),
+            tokens: work(submission).tokens(),
             trial,
         };
-        self.inflight.add(&ask.prefix);
-        self.active_grants.insert(ask.request.clone(), active_grant);
+        self.inflight.add(&submission.prefix);
+        self.active_grants
+            .insert(submission.request.clone(), active_grant);
     }
 
-    /// Grants an ask, or refuses it if the best target can't meet its deadline.
+    /// Grants a submission, or refuses it if the best target can't meet its deadline.
     fn grant_or_refuse(&mut self, request: &RequestId, choice: Choice, now: Instant) {
         let deadline = self.waiting[request].deadline;
         let left = deadline.map(|deadline| deadline.saturating_duration_since(now));
@@ -152,54 +154,59 @@
             return;
         };
         self.reserve(&waiting, &choice, now);
-        self.record_outcome(&waiting.ask, true);
-        if waiting.ask.partial.is_none() {
-            self.wait_outcomes.record_grant(waiting.ask.tier, now);
+        self.record_outcome(&waiting.submission, true);
+        if waiting.submission.partial.is_none() {
+            self.wait_outcomes
+                .record_grant(waiting.submission.tier, now);
         }
-        let verdict = self.grant_verdict(request, waiting.ask.ask);
+        let verdict = self.grant_verdict(request, waiting.submission.submission);
         if let Some(waiter) = waiting.waiter {
             // If the receiver has just been dropped, its guard cancels the grant.
             let _ = waiter.tx.send(verdict);
         }
     }
 
-    /// Returns the first ask in order that has an eligible target.
+    /// Returns the first submission in order that has an eligible target.
     fn next_request(&self, occupancy: Occupancy, now: Instant) -> Option<RequestId> {
         self.queue.priorities().find_map(|priority| {
             // Resumed answers go first: otherwise their completed prefill and generated tokens
             // would be lost.
-            let resumed = self.next_eligible(priority, Lane::Resumed, occupancy, now);
+            let resumed = self.next_eligible(priority, SizeClass::Resumed, occupancy, now);
             let next = resumed.or_else(|| self.next_unstarted(priority, occupancy, now));
             next.map(|position| position.request.clone())
         })
     }
 
-    /// Returns the first ask with an eligible target in a lane whose asks differ in the targets
-    /// they may use.
+    /// Returns the first submission with an eligible target in a size class whose submissions
+    /// differ in the targets they may use.
     fn next_eligible(
         &self,
         priority: Priority,
-        lane: Lane,
+        size_class: SizeClass,
         occupancy: Occupancy,
         now: Instant,
     ) -> Option<&Position> {
-        let mut heads = self.queue.heads(priority, lane).take(RESTRICTED_SCAN_LIMIT);
+        let mut heads = self
+            .queue
+            .heads(priority, size_class)
+            .take(RESTRICTED_SCAN_LIMIT);
         heads.find(|position| self.is_eligible(&position.request, occupancy, now))
     }
 
-    /// Returns the first ask of a priority that has an eligible target and no partial answer.
+    /// Returns the first submission of a priority that has an eligible target and no partial
+    /// answer.
     fn next_unstarted(
         &self,
         priority: Priority,
         occupancy: Occupancy,
         now: Instant,
     ) -> Option<&Position> {
-        let excluding = self.next_eligible(priority, Lane::Excluding, occupancy, now);
-        let lanes = [Lane::Long, Lane::Short].into_iter();
-        let candidates = lanes.filter_map(|lane| {
+        let excluding = self.next_eligible(priority, SizeClass::Excluding, occupancy, now);
+        let size_classes = [SizeClass::Long, SizeClass::Short].into_iter();
+        let candidates = size_classes.filter_map(|size_class| {
             let mut heads = self
                 .queue
-                .heads(priority, lane)
+                .heads(priority, size_class)
                 .take(DELAY_SCAN_LIMIT)
                 .peekable();
             let position = heads.peek()?;
--- a/crates/lilaccrankd/src/ports.rs
+++ b/crates/lilaccrankd/src/ports.rs
@@ -1,14 +1,13 @@
-//! What a daemon speaks with the world around it. Each port has the product's own adapter, and may
-//! have others.
+//! Ports of the daemon to its environment. Each has a native adapter and may have others.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
 use crate::callers::native_protocol::NativeProtocol;
 use crate::callers::protocol::CallerProtocol;
-use crate::configuration::own_source::OwnSource;
+use crate::configuration::native_source::NativeSource;
 use crate::configuration::source::Source;
-use crate::objects::{Objects, OwnObjects};
+use crate::objects::{NativeObjects, Objects};
 use crate::settings::{self, Settings};
 use crate::targets::native_protocol::NativeTargetProtocol;
 use crate::targets::protocol::TargetProtocol;
@@ -16,29 +15,29 @@
 /// The adapters of one daemon.
 #[derive(Clone)]
 pub struct Ports {
-    /// What callers speak.
+    /// Protocol of callers.
     pub callers: Rc<dyn CallerProtocol>,
-    /// Objects that all daemons share.
+    /// Small objects that all daemons share.
     pub objects: Rc<dyn Objects>,
-    /// How the settings file is read.
+    /// Reads the settings file.
     pub settings: fn(&Path) -> settings::Result<Settings>,
-    /// The settings file, if there is one.
+    /// Path of the settings file, if any.
     pub settings_file: Option<PathBuf>,
-    /// Where configurations and the list of targets come from.
+    /// Source of configurations and of the list of targets.
     pub source: Rc<dyn Source>,
-    /// What targets to which requests are passed on speak.
+    /// Protocol of targets that requests are forwarded to.
     pub targets: Rc<dyn TargetProtocol>,
 }
 
 impl Default for Ports {
-    /// The product's own.
+    /// The native adapters.
     fn default() -> Self {
         Self {
             callers: Rc::new(NativeProtocol),
-            objects: Rc::new(OwnObjects),
+            objects: Rc::new(NativeObjects),
             settings: Settings::read,
             settings_file: None,
-            source: Rc::new(OwnSource),
+            source: Rc::new(NativeSource),
             targets: Rc::new(NativeTargetProtocol),
         }
     }
--- a/crates/lilaccrankd/src/request/migration.rs
+++ b/crates/lilaccrankd/src/request/migration.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use futures::future;
-use lilaccrank::dispatch::message::{Ask, PartialAnswer};
+use lilaccrank::dispatch::message::{PartialAnswer, Submission};
 use lilaccrank::stream_progress;
 
 use crate::pools::client::{self, HeldGrant};
@@ -40,7 +40,7 @@
             else {
                 continue;
             };
-            if !observer.daemon.second_sends.has_budget(&self.route.pool) {
+            if !observer.daemon.retry_budgets.has_budget(&self.route.pool) {
                 continue;
             }
             let ask = self.migration_ask(observer, remaining, prior);
@@ -48,7 +48,7 @@
                 Ok(grant)
                     if observer
                         .daemon
-                        .second_sends
+                        .retry_budgets
                         .try_take(observer.daemon, &self.route.pool) =>
                 {
                     self.log_migration(observer, &grant, remaining);
@@ -66,7 +66,7 @@
         observer: &SendObserver<'_>,
         remaining: Duration,
         prior: &PriorSends,
-    ) -> Ask {
+    ) -> Submission {
         let mut exclusions = prior.exclusions.clone();
         exclusions.push(observer.grant.target.clone());
         let prior = PriorSends {
@@ -78,7 +78,7 @@
             tokens: observer.stream_progress().total_tokens(),
         };
         let ask = self.ask(observer.daemon, &prior, Some(partial));
-        Ask {
+        Submission {
             request: format!("{}{ASK_SUFFIX}", ask.request),
             ..ask
         }
