--- a/crates/lilaccrank-http/src/body.rs
+++ b/crates/lilaccrank-http/src/body.rs
@@ -1,4 +1,4 @@
-//! The body type of everything that is served or sent over hyper.
+//! Defines the body type of requests and responses sent over hyper.
 
 use std::time::{Duration, Instant};
 
@@ -11,28 +11,28 @@
 
 /// Any error of a body.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
-/// A body whose source does not matter.
+/// A boxed body, independent of its source.
 pub type Body = UnsyncBoxBody<Bytes, BoxError>;
 /// The sending end of a streamed body.
 pub type BodySender = Sender<Bytes, BoxError>;
 /// Result of reading a body.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Frames that may wait between the writer and the connection.
+/// Capacity, in frames, of the channel between a writer and the connection.
 const CHANNEL_FRAMES: usize = 16;
 
-/// Longest wait for a last piece to be taken by the connection.
+/// Maximum time to wait until the connection takes the last chunk.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two looks whether it was taken.
+/// Interval between checks that the chunk was taken.
 const FLUSH_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Why a body could not be read whole.
+/// Reasons why a body could not be read completely.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The other end stopped before the end.
+    /// The connection failed before the end of the body.
     #[error("the body broke off: {0}")]
     Broken(#[from] hyper::Error),
-    /// It is longer than allowed.
+    /// The body exceeds the size limit.
     #[error("the body is over the limit of {limit} bytes")]
     TooLarge {
         /// The limit in bytes.
@@ -40,19 +40,21 @@
     },
 }
 
-/// A body sent frame by frame; dropping the sender ends it as whole, see [`send_and_abort`].
+/// Creates a body that is sent frame by frame.
+///
+/// Dropping the sender ends the body normally; [`send_and_abort`] ends it with an error.
 #[must_use]
 pub fn channel() -> (BodySender, Body) {
     let (tx, body) = Channel::new(CHANNEL_FRAMES);
     (tx, body.boxed_unsync())
 }
 
-/// Sends a last piece and breaks the body visibly.
+/// Sends a last chunk, then ends the body with an error that the reader can detect.
 ///
-/// hyper closes a connection at a body's error without writing what it has buffered, and the
-/// reader would miss the last piece. The connection's task takes the piece, finds nothing after
-/// it and writes it in one go, so it is enough to wait until the piece was taken. A reader that
-/// takes nothing for the time of the wait still sees the break.
+/// On a body error hyper closes the connection without writing its buffer, so the reader would
+/// miss the last chunk. The connection's task writes the chunk in the same poll that takes it from
+/// the channel, so waiting until it was taken is enough. If the reader accepts nothing within the
+/// timeout, the body is aborted anyway.
 pub async fn send_and_abort(mut tx: BodySender, last: Bytes, reason: &str) {
     if tx.send_data(last).await.is_ok() {
         let deadline = Instant::now() + FLUSH_TIMEOUT;
@@ -63,13 +65,13 @@
     tx.abort(reason.into());
 }
 
-/// A body of no bytes.
+/// Returns an empty body.
 #[must_use]
 pub fn empty() -> Body {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A whole body.
+/// Returns a body that consists of `bytes`.
 #[must_use]
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
@@ -81,7 +83,7 @@
 ///
 /// # Errors
 ///
-/// If the body breaks off or is longer.
+/// Returns an error if the connection fails before the end or the body exceeds `limit`.
 pub async fn read(mut body: Incoming, limit: usize) -> Result<Bytes> {
     let mut buf = BytesMut::new();
     while let Some(frame) = body.frame().await {
--- a/crates/lilaccrank-http/src/client.rs
+++ b/crates/lilaccrank-http/src/client.rs
@@ -1,4 +1,4 @@
-//! Sends HTTP/1.1 requests over hyper, on pooled connections that are known to be alive.
+//! Sends HTTP/1.1 requests over hyper, reusing only recently used pooled connections.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -17,66 +17,66 @@
 use crate::body::Body;
 use crate::tally::{Counted, Tally};
 
-/// Result of sending.
+/// Result of sending a request.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// An idle connection is used again at most this long after its last answer.
+/// Maximum time after its last response that an idle connection is reused.
 ///
-/// Something between the two ends may lose track of an idle connection without a word; a
-/// request sent on it then hangs, and whether it ran is unknown. Within this time the last
-/// answer is proof enough; after it a new connection proves itself by its handshake.
+/// A middlebox may silently drop the state of an idle connection. A request sent on it then hangs,
+/// and whether it ran is unknown. Within this time the connection is assumed to be alive; later
+/// requests open a new one, which the TCP handshake verifies.
 pub const MAX_IDLE: Duration = Duration::from_secs(1);
-/// A silent connection is probed by the system after this long, and up to twice as long.
+/// Idle time before the first TCP keepalive probe; jitter adds up to the same time again.
 ///
-/// Connections opened in one burst would otherwise all be probed in the same instant; with 3,000
-/// of them on one machine probes were lost in its queues, and living connections timed out.
+/// Without jitter, connections opened in one burst are all probed at once: with 3,000 on one
+/// machine, probes were lost in its queues and live connections timed out.
 const KEEPALIVE: Duration = Duration::from_secs(10);
-/// Time between two probes.
+/// Interval between keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(5);
-/// Unanswered probes that end a connection.
+/// Number of unanswered probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 4;
-/// Most idle connections kept for each address.
+/// Maximum number of idle connections per address.
 const IDLE_LIMIT: usize = 64;
 
-/// Why a request got no response head.
+/// Reasons why a request got no response head.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// The connection could not be made; nothing was sent.
+    /// Connecting failed; nothing was sent.
     #[error("can't connect to {address}: {source}")]
     Connect {
         /// IP number and port.
         address: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The connection failed.
+    /// The connection failed before the response head.
     #[error("the exchange with {address} failed: {source}")]
     Exchange {
         /// IP number and port.
         address: String,
-        /// What hyper said.
+        /// Error reported by hyper.
         source: hyper::Error,
-        /// Whether not a byte of the request was written.
+        /// `true` if no byte of the request was written.
         unsent: bool,
     },
-    /// No response head in time; the request may have been taken.
+    /// No response head arrived in time; the server may have processed the request.
     #[error("{address} did not answer within {limit:?}")]
     Silent {
         /// IP number and port.
         address: String,
-        /// The limit that passed.
+        /// Time limit that was exceeded.
         limit: Duration,
     },
 }
 
 impl Error {
-    /// Whether the connection ended after the request had been sent on it.
+    /// Returns `true` if the connection failed after the request was sent, at least in part.
     #[must_use]
     pub fn is_connection_lost(&self) -> bool {
         matches!(self, Self::Exchange { unsent: false, .. })
     }
 
-    /// Whether the other end certainly got nothing.
+    /// Returns `true` if the server certainly received nothing.
     #[must_use]
     pub fn is_unsent(&self) -> bool {
         matches!(
@@ -86,25 +86,25 @@
     }
 }
 
-/// Limits of one exchange.
+/// Time limits of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Time for the connection.
+    /// Maximum time to connect.
     pub connect: Duration,
-    /// Time from sending to the response head.
+    /// Maximum time from sending the request to receiving the response head.
     pub head: Duration,
-    /// Longest rest of an idle connection that is used again, [`MAX_IDLE`] at most; zero if
-    /// only a new one will do.
+    /// Maximum idle time of a reused connection, capped at [`MAX_IDLE`]; zero always opens a new
+    /// connection.
     pub max_idle: Duration,
 }
 
-/// A client; clones share the connections.
+/// An HTTP client; clones share the connection pool.
 #[derive(Clone, Default)]
 pub struct Client {
-    /// How often an address was forgotten; connections of before are not kept.
+    /// Number of times each address was discarded; connections of older generations are not kept.
     generations: Rc<RefCell<IndexMap<String, u64>>>,
     idle: Rc<RefCell<IndexMap<String, Vec<Idle>>>>,
-    /// Whether a task closes idle connections.
+    /// `true` while a task closes idle connections.
     sweeping: Rc<Cell<bool>>,
     tally: Option<Tally>,
 }
@@ -120,23 +120,23 @@
     }
 }
 
-/// A connection on loan from the client.
+/// A connection checked out of the client's pool.
 ///
-/// Give it back with [`Client::release`] once the body is read to its end. Dropping it closes
-/// the connection, which cancels what the other end still does for it.
+/// Return it with [`Client::release`] after reading the whole response body. Dropping it closes the
+/// connection, which cancels the request on the server.
 pub struct Connection {
     address: String,
-    /// How often its address had been forgotten when it was made.
+    /// Generation of the address when the connection was checked out.
     generation: u64,
     sender: SendRequest<Body>,
 }
 
 impl Connection {
-    /// Makes a new connection, for who has to decide something right before sending.
+    /// Opens a new connection, for callers that must make a decision right before sending.
     ///
     /// # Errors
     ///
-    /// [`Error::Connect`] if it can't be made within `limit`.
+    /// Returns [`Error::Connect`] if connecting fails or takes longer than `limit`.
     pub async fn open(address: &str, limit: Duration) -> Result<Self> {
         Ok(Self {
             address: address.to_owned(),
@@ -149,13 +149,13 @@
     ///
     /// # Errors
     ///
-    /// If the connection fails, or stays silent for longer than `head`.
+    /// Returns an error if the connection fails or no response head arrives within `head`.
     pub async fn send(&mut self, req: Request<Body>, head: Duration) -> Result<Response<Incoming>> {
         let sent = self.try_send(req, head).await;
         sent.map_err(|(e, _)| e)
     }
 
-    /// Gives the request back if the connection had ended before a byte of it was written.
+    /// Returns the request along with the error if none of it was written.
     async fn try_send(
         &mut self,
         req: Request<Body>,
@@ -183,7 +183,7 @@
 }
 
 impl Client {
-    /// A client whose bytes, requests and responses are counted.
+    /// Creates a client that counts its bytes, requests and responses in `tally`.
     #[must_use]
     pub fn with_tally(tally: Tally) -> Self {
         Self {
@@ -196,7 +196,8 @@
     ///
     /// # Errors
     ///
-    /// If the connection can't be made, fails, or stays silent.
+    /// Returns an error if the connection can't be made or fails, or no response head arrives in
+    /// time.
     pub async fn send(
         &self,
         address: &str,
@@ -212,7 +213,7 @@
             };
             match self.exchange(connection, req, limits.head).await {
                 Ok(answered) => return Ok(answered),
-                // The other end closed it while it rested: nothing was sent on it.
+                // The server closed the connection while it was idle, so nothing was sent.
                 Err((_, Some(unsent))) => req = unsent,
                 Err((e, None)) => return Err(e),
             }
@@ -242,7 +243,7 @@
         Ok((res, connection))
     }
 
-    /// Takes a connection back after a whole answer.
+    /// Returns a connection to the pool after a complete response.
     pub fn release(&self, connection: Connection) {
         if connection.generation != self.generation(&connection.address) {
             return;
@@ -260,8 +261,8 @@
         }
     }
 
-    /// Gives up all connections to an address: another process has it now. One to the process before
-    /// would hang without a word, or be reset with a request on it that may not be sent twice.
+    /// Discards all connections to an address that another process has taken over. A request on a
+    /// connection to the previous process would hang, or be reset and might not be safe to retry.
     pub fn discard_connections(&self, address: &str) {
         self.idle.borrow_mut().swap_remove(address);
         let mut generations = self.generations.borrow_mut();
@@ -273,11 +274,11 @@
         generations.get(address).copied().unwrap_or(0)
     }
 
-    /// Closes what is too old to be used, until nothing is idle.
+    /// Closes expired idle connections until none are left.
     ///
-    /// Requests that need new connections leave theirs here and take none. Without this the idle
-    /// ones stay open for as long as their servers like, up to the limit for each address, and a
-    /// daemon before thousands of targets runs out of descriptors.
+    /// Requests that require new connections add to the pool but never take from it. Without this
+    /// task, idle connections stay open until their servers close them, up to the limit per
+    /// address, and a daemon with thousands of targets runs out of file descriptors.
     async fn sweep(self) {
         loop {
             monoio::time::sleep(MAX_IDLE).await;
@@ -293,7 +294,7 @@
         }
     }
 
-    /// The connection that rested shortest, if that is short enough.
+    /// Takes the most recently used connection that has been idle for less than `max_idle`.
     fn take(&self, address: &str, max_idle: Duration) -> Option<SendRequest<Body>> {
         let mut idle = self.idle.borrow_mut();
         let list = idle.get_mut(address)?;
@@ -338,7 +339,7 @@
     let (sender, connection) = http1::handshake(io).await?;
     monoio::spawn(async move {
         if let Err(e) = connection.await {
-            log::debug!("connection to a server ended: {e}");
+            log::debug!("client connection failed: {e}");
         }
     });
     Ok(sender)
--- a/crates/lilaccrank-http/src/compression.rs
+++ b/crates/lilaccrank-http/src/compression.rs
@@ -1,4 +1,4 @@
-//! Deflates bodies between daemons where that pays.
+//! Compresses bodies sent between daemons when the size makes it worthwhile.
 
 use std::io::{self, Read, Write};
 
@@ -7,25 +7,25 @@
 use flate2::write::ZlibEncoder;
 use http::header::{CONTENT_ENCODING, HeaderMap, HeaderValue};
 
-/// Result of unpacking.
+/// Result of decompressing.
 pub type Result<T, E = io::Error> = std::result::Result<T, E>;
 
-/// Smaller bodies gain less than a tenth.
+/// Minimum body size to compress, in bytes; smaller bodies shrink by less than 10%.
 const MIN_SIZE: usize = 1 << 10;
-/// Larger bodies are whole configurations for a daemon that has just started. Deflating them
-/// would hold up the requests of the daemon that answers for a tenth of a second.
+/// Maximum body size to compress, in bytes. Larger bodies are full configurations for a daemon that
+/// has just started; compressing one would block the sender's requests for 100 ms.
 const MAX_SIZE: usize = 256 << 10;
 
-/// A body as it goes over the wire.
+/// A body as sent over the wire.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EncodedBody {
-    /// The bytes.
+    /// Bytes of the body, compressed if `deflated` is set.
     pub buf: Vec<u8>,
-    /// Whether they are deflated.
+    /// `true` if `buf` is zlib-compressed.
     pub deflated: bool,
 }
 
-/// Deflates `buf` if it is neither too small nor too large.
+/// Compresses `buf` if its size is within the limits and the result is smaller.
 #[must_use]
 pub fn compress(buf: Vec<u8>) -> EncodedBody {
     if !(MIN_SIZE..=MAX_SIZE).contains(&buf.len()) {
@@ -48,11 +48,11 @@
     }
 }
 
-/// Undoes [`compress`].
+/// Returns the original bytes of a body encoded by [`compress`].
 ///
 /// # Errors
 ///
-/// If the bytes are damaged, or more comes out than is ever packed.
+/// Returns an error if the bytes are corrupt or decompress to more than [`compress`] accepts.
 pub fn decompress(encoded: EncodedBody) -> Result<Vec<u8>> {
     if !encoded.deflated {
         return Ok(encoded.buf);
@@ -66,12 +66,12 @@
     Ok(buf)
 }
 
-/// Says in the head that the body is deflated.
+/// Sets `Content-Encoding: deflate`.
 pub(crate) fn set_deflated(headers: &mut HeaderMap) {
     headers.insert(CONTENT_ENCODING, HeaderValue::from_static("deflate"));
 }
 
-/// Whether the head says that the body is deflated.
+/// Returns `true` if a `Content-Encoding` header is present.
 pub(crate) fn is_deflated(headers: &HeaderMap) -> bool {
     headers.contains_key(CONTENT_ENCODING)
 }
--- a/crates/lilaccrank-http/src/events.rs
+++ b/crates/lilaccrank-http/src/events.rs
@@ -1,56 +1,56 @@
-//! Cuts the bytes of a stream of server-sent events into whole events, which pass on unchanged.
+//! Splits a byte stream of server-sent events into complete events, without changing their bytes.
 
 use bytes::{Bytes, BytesMut};
 use thiserror::Error;
 
-/// Result of cutting.
+/// Result of splitting a stream.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Largest event in bytes; a stream without any end of an event would otherwise fill the memory.
+/// Maximum size of an event in bytes; bounds memory for a stream that never ends an event.
 const EVENT_LIMIT: usize = 1 << 20;
 
-/// Why bytes are no stream of events.
+/// Reasons why a byte stream is not a valid event stream.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum Error {
-    /// An event does not end.
+    /// An event exceeds the size limit.
     #[error("an event is over the limit of {EVENT_LIMIT} bytes")]
     TooLarge,
 }
 
-/// One whole event.
+/// A complete event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// Its bytes, with the empty line that ends it.
+    /// Bytes of the event, including the empty line that ends it.
     pub bytes: Bytes,
-    /// Its id, if it has one.
+    /// Value of the `id` field, if present.
     pub id: Option<String>,
 }
 
-/// Bytes that do not yet make a whole event.
+/// Buffers incoming bytes and splits them into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
-    /// Bytes of `buf` that hold no end of an event.
+    /// Length of the prefix of `buf` already searched for the end of an event.
     scanned: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes as they came.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Removes and returns the next complete event, or `None` if more bytes are needed.
     ///
     /// # Errors
     ///
-    /// [`Error::TooLarge`] if an event does not end.
+    /// Returns [`Error::TooLarge`] if the buffer exceeds the event limit without ending an event.
     pub fn next_event(&mut self) -> Result<Option<Event>> {
         let Some(end) = event_len(&self.buf, self.scanned) else {
             if self.buf.len() > EVENT_LIMIT {
                 return Err(Error::TooLarge);
             }
-            // An end may lie across two pieces.
+            // The end of an event may span two chunks.
             self.scanned = self.buf.len().saturating_sub(3);
             return Ok(None);
         };
@@ -60,14 +60,14 @@
         Ok(Some(Event { bytes, id }))
     }
 
-    /// Whether a part of an event is left.
+    /// Returns `true` if the buffer holds an incomplete event.
     #[must_use]
     pub fn is_in_event(&self) -> bool {
         !self.buf.is_empty()
     }
 }
 
-/// Length of the first event, its empty line included.
+/// Returns the length of the first event, including the empty line that ends it.
 fn event_len(buf: &[u8], start: usize) -> Option<usize> {
     let lines = (start..buf.len()).filter(|at| buf[*at] == b'\n');
     for at in lines {
--- a/crates/lilaccrank-http/src/head_timer.rs
+++ b/crates/lilaccrank-http/src/head_timer.rs
@@ -1,8 +1,8 @@
-//! How fast a caller sends the head of its next request.
+//! Limits how long a caller may take to send a request head.
 //!
-//! The library's own timeout runs from the end of the last answer, so that it can't tell a
-//! connection that rests between two requests from a caller that sends its head byte by byte.
-//! This one runs from the first byte of a head to its last.
+//! hyper's header timeout starts at the end of the previous response, so it can't distinguish a
+//! connection that is idle between requests from a caller that sends its head byte by byte. This
+//! timer runs from the first byte of a head to the last.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -14,7 +14,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::rt::{Read, ReadBufCursor, Write};
 
-/// Between two requests, or in one.
+/// Progress of the current request on a connection.
 #[derive(Default)]
 struct State {
     started: Event,
@@ -22,36 +22,36 @@
     started_at: Cell<Option<Instant>>,
 }
 
-/// Times the heads of one connection; clones share the state.
+/// Measures the time to receive each request head on a connection; clones share the state.
 #[derive(Clone, Default)]
 pub(crate) struct HeadTimer {
     state: Rc<State>,
 }
 
-/// A request in progress until it is dropped.
+/// Marks a request as in progress until dropped.
 pub(crate) struct RequestGuard(HeadTimer);
 
-/// A transport whose first byte of each head is timed.
+/// A transport that starts the timer at the first byte of each head.
 pub(crate) struct TimedIo<T> {
     io: T,
     head_timer: HeadTimer,
 }
 
-/// A body that keeps its request in progress.
+/// A response body that holds the guard of its request.
 pub(crate) struct GuardedBody<B> {
     body: B,
     _guard: RequestGuard,
 }
 
 impl HeadTimer {
-    /// A whole head has come.
+    /// Stops the timer after a complete head and marks the request as in progress.
     pub(crate) fn begin_request(&self) -> RequestGuard {
         self.state.in_request.set(true);
         self.state.started_at.set(None);
         RequestGuard(self.clone())
     }
 
-    /// Completes once a head has taken longer than `limit`.
+    /// Completes when a head takes longer than `limit`.
     pub(crate) async fn timed_out(&self, limit: Duration) {
         loop {
             let listener = self.state.started.listen();
@@ -123,7 +123,7 @@
         buf: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         let polled = Pin::new(&mut self.io).poll_read(cx, buf);
-        // The end of the stream counts as a byte too, and ends the connection anyway.
+        // End of stream also starts the timer, which is harmless because the connection ends.
         if polled.is_ready() {
             self.head_timer.on_read();
         }
--- a/crates/lilaccrank-http/src/lib.rs
+++ b/crates/lilaccrank-http/src/lib.rs
@@ -1,7 +1,7 @@
 //! Adapters that carry lilaccrank's ports over HTTP on monoio.
 //!
-//! Streaming sides (callers, targets, operators) use hyper, which passes each event on as it
-//! comes; calls between daemons are whole messages and use monoio-http with rmp-serde.
+//! Connections to callers, targets and operators use hyper, which forwards each streamed event as
+//! it arrives. Calls between daemons are whole messages and use monoio-http with rmp-serde.
 
 pub mod body;
 pub mod client;
--- a/crates/lilaccrank-http/src/monoio_clock.rs
+++ b/crates/lilaccrank-http/src/monoio_clock.rs
@@ -1,4 +1,4 @@
-//! The clock port on monoio's timers, which count in about a millisecond.
+//! Implements the clock port with monoio's timers, which have a resolution of about 1 ms.
 
 use std::future::Future;
 use std::time::{Duration, Instant, SystemTime};
--- a/crates/lilaccrank-http/src/peer_link.rs
+++ b/crates/lilaccrank-http/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! Calls to one peer: a task that sends what has gathered as one batch over monoio-http.
+//! Sends calls to a peer in batches over monoio-http, from one task per peer.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -24,16 +24,16 @@
 use crate::compression::{self, EncodedBody};
 use crate::tally::{Counted, Tally};
 
-/// Path of the one resource that peers post to.
+/// Path that peers post batches to.
 pub const PATH: &str = "/peer";
-/// Most calls in one batch.
+/// Maximum number of calls in a batch.
 const BATCH_LIMIT: usize = 256;
-/// Time for a new connection.
+/// Maximum time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for one batch. A peer that is alive answers in milliseconds; waiting longer would hold
-/// up every later call behind a connection that has silently died.
+/// Maximum time for one batch. A live peer answers in milliseconds; a longer timeout would block
+/// all later calls behind a connection that failed silently.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// An idle connection is trusted this long; see the client's `MAX_IDLE`.
+/// Maximum time an idle connection is reused; see [`crate::client::MAX_IDLE`].
 const MAX_IDLE: Duration = Duration::from_secs(2);
 
 struct Call<Req, Rep> {
@@ -41,7 +41,7 @@
     tx: oneshot::Sender<Result<Rep>>,
 }
 
-/// A link to one peer; clones share its task, which ends with the last clone.
+/// A handle for calls to a peer; clones share a task, which ends when the last clone is dropped.
 pub struct PeerLink<Req, Rep> {
     tx: mpsc::UnboundedSender<Call<Req, Rep>>,
     vm: VmId,
@@ -61,8 +61,8 @@
     Req: Serialize + 'static,
     Rep: DeserializeOwned + 'static,
 {
-    /// Starts the task of the link to `vm` at `address`; connects at the first call. What passes
-    /// is counted in `tally`.
+    /// Starts the task for calls to `vm` at `address`, which connects at the first call and counts
+    /// its traffic in `tally`.
     #[must_use]
     pub fn start(vm: VmId, address: String, tally: Tally) -> Self {
         let (tx, rx) = mpsc::unbounded();
@@ -80,7 +80,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] if nothing was sent, [`Error::NoAnswer`] if it may have been.
+    /// Returns [`Error::Unreachable`] if nothing was sent, [`Error::NoAnswer`] if the request may
+    /// have been.
     pub async fn call(&self, req: Req) -> Result<Rep> {
         let (tx, rx) = oneshot::channel();
         let unreachable = || Error::Unreachable(self.vm.clone());
@@ -116,8 +117,8 @@
                 let Ok(call) = rx.try_recv() else { break };
                 calls.push_back(call);
             }
-            // A caller that stopped waiting needs no reply; its message still goes out, since
-            // a cancel or a report must not depend on who waits.
+            // Calls whose caller has stopped waiting are still sent: a cancellation or a report
+            // must reach the peer even if nobody waits for the reply.
             let (reqs, txs): (Vec<_>, Vec<_>) = calls.into_iter().map(|c| (c.req, c.tx)).unzip();
             match self.exchange(&reqs).await {
                 Ok(replies) => {
@@ -127,7 +128,7 @@
                 }
                 Err(e) => {
                     self.connection = None;
-                    log::debug!("call to a peer failed: {e}");
+                    log::debug!("batch to a peer failed: {e}");
                     for tx in txs {
                         let _ = tx.send(Err(e.clone()));
                     }
@@ -163,7 +164,7 @@
             .flatten()
             .ok_or_else(no_answer)?;
         let replies: Vec<Rep> = rmp_serde::from_slice(&body).map_err(|e| {
-            log::warn!("a peer's reply can't be read: {e}");
+            log::warn!("can't decode replies from a peer: {e}");
             no_answer()
         })?;
         if replies.len() != reqs.len() {
--- a/crates/lilaccrank-http/src/peer_server.rs
+++ b/crates/lilaccrank-http/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of peers: one task for each connection, one handler call for each message.
+//! Serves calls from peers, with one task per connection and one handler call per message.
 
 use std::future::Future;
 
@@ -21,7 +21,7 @@
 use crate::compression::{self, EncodedBody};
 use crate::tally::{Counted, Tally};
 
-/// Accepts peers' connections for as long as the daemon runs; what passes is counted in `tally`.
+/// Accepts connections from peers as long as the daemon runs and counts the traffic in `tally`.
 pub async fn serve<Req, Rep, H, F>(listener: TcpListener, tally: Tally, handler: H)
 where
     Req: DeserializeOwned + 'static,
@@ -34,7 +34,7 @@
             Ok((stream, _)) => {
                 monoio::spawn(serve_connection(stream, tally.clone(), handler.clone()));
             }
-            Err(e) => log::warn!("accept of a peer failed: {e}"),
+            Err(e) => log::warn!("accept of a peer connection failed: {e}"),
         }
     }
 }
@@ -74,8 +74,8 @@
     }
 }
 
-/// Handles the messages of a batch at the same time, so that one that waits for a third daemon
-/// does not hold up the others in their turn.
+/// Handles the messages of a batch concurrently, so that a message that waits for a third daemon
+/// does not block the others.
 async fn answer<Req, Rep, H, F>(body: &[u8], tally: &Tally, handler: &H) -> Response
 where
     Req: DeserializeOwned,
@@ -86,7 +86,7 @@
     let reqs: Vec<Req> = match rmp_serde::from_slice(body) {
         Ok(reqs) => reqs,
         Err(e) => {
-            log::warn!("a peer's batch can't be read: {e}");
+            log::warn!("can't decode a batch from a peer: {e}");
             return respond(StatusCode::BAD_REQUEST, Vec::new());
         }
     };
@@ -96,7 +96,7 @@
     match rmp_serde::to_vec_named(&replies) {
         Ok(buf) => respond(StatusCode::OK, buf),
         Err(e) => {
-            log::warn!("a reply can't be written: {e}");
+            log::warn!("can't encode replies to a peer: {e}");
             respond(StatusCode::INTERNAL_SERVER_ERROR, Vec::new())
         }
     }
--- a/crates/lilaccrank-http/src/runtime.rs
+++ b/crates/lilaccrank-http/src/runtime.rs
@@ -1,13 +1,13 @@
-//! The one way to build a runtime: on epoll, never on io_uring.
+//! Builds the monoio runtime, always on epoll and never on io_uring.
 
 use std::future::Future;
 use std::io;
 
-/// Runs `fut` to its end on a single-threaded runtime.
+/// Runs `fut` to completion on a single-threaded runtime.
 ///
 /// # Errors
 ///
-/// If the runtime's poller can't be made.
+/// Returns an error if the runtime's poller can't be created.
 pub fn block_on<F: Future>(fut: F) -> io::Result<F::Output> {
     let mut runtime = monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
         .enable_all()
--- a/crates/lilaccrank-http/src/server.rs
+++ b/crates/lilaccrank-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/1.1 over hyper: one task for each connection.
+//! Serves HTTP/1.1 over hyper, with one task per connection.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -22,28 +22,28 @@
 use crate::body::Body;
 use crate::head_timer::{GuardedBody, HeadTimer, TimedIo};
 
-/// Result of listening.
+/// Result of binding a listener.
 pub type Result<T, E = io::Error> = std::result::Result<T, E>;
 
-/// Smallest buffer that the library takes for a head.
+/// Minimum read buffer that hyper accepts, in bytes.
 const MIN_HEAD_BUFFER: usize = 8 * 1024;
-/// Wait after a failed accept, which mostly means that no descriptor is free.
+/// Delay after a failed accept, which usually means that no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a caller may send in a head, and how long it may take.
+/// Limits on request heads and idle connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeadLimits {
-    /// Largest head in bytes.
+    /// Maximum size of a head in bytes.
     pub head_bytes: usize,
-    /// Longest time from the first byte of a head to its last.
+    /// Maximum time from the first byte of a head to the last.
     pub head_timeout: Duration,
-    /// Longest time without a request on an open connection.
+    /// Maximum time an open connection may stay without a request.
     pub idle_timeout: Duration,
 }
 
 impl Default for HeadLimits {
-    /// Ten seconds are ample for a head over any network, and no caller waits longer between two
-    /// requests that belong together; 64 KiB hold every head that common clients send.
+    /// 10 s is ample for a head over any network, and callers don't pause longer between related
+    /// requests. 64 KiB holds any head that common clients send.
     fn default() -> Self {
         Self {
             head_bytes: 64 * 1024,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Tells a server to finish what it has and counts what is still open.
+/// Controls the graceful shutdown of a server and counts its open connections.
 #[derive(Clone, Default)]
 pub struct ShutdownHandle {
     inner: Rc<ShutdownState>,
@@ -68,20 +68,21 @@
 }
 
 impl ShutdownHandle {
-    /// From now on each connection ends with its next answer, which says so. Connections are
-    /// still accepted, and those that rest are left to their callers: one that is closed from
-    /// this side could have the next request on its way already.
+    /// Ends each connection after its next response, which carries `Connection: close`.
+    ///
+    /// New connections are still accepted. Idle connections stay open, because the caller's next
+    /// request could already be in flight when the server closes one.
     pub fn drain(&self) {
         self.inner.draining.set(true);
     }
 
-    /// Takes no new connections; the open ones end after the answer in progress.
+    /// Stops accepting connections; open ones end after the response in progress.
     pub fn close(&self) {
         self.inner.closing.set(true);
         self.inner.changed.notify(usize::MAX);
     }
 
-    /// Connections still open.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn connections(&self) -> usize {
         self.inner.connections.get()
@@ -97,21 +98,21 @@
     }
 }
 
-/// Binds `address` for this process alone.
+/// Binds `address` exclusively for this process.
 ///
-/// The runtime's own default lets a second process bind the same address; two daemons would
-/// then share connections without a word.
+/// monoio sets `SO_REUSEPORT` by default, which lets a second process bind the same address; two
+/// daemons would then silently share connections.
 ///
 /// # Errors
 ///
-/// If the address is taken.
+/// Returns an error if the address can't be bound, for example because it is in use.
 pub fn bind(address: SocketAddr) -> Result<TcpListener> {
     let options = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(address, &options)
 }
 
-/// Accepts connections until `closing` is set. The handler's future is dropped when its caller
-/// goes away.
+/// Accepts connections until `shutdown` is closed. The handler's future is dropped when its caller
+/// disconnects.
 pub async fn serve<H, F>(listener: TcpListener, shutdown: ShutdownHandle, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
@@ -121,7 +122,8 @@
     serve_with_limits(listener, shutdown, limits, handler).await;
 }
 
-/// Like [`serve`], with limits that may change; each connection keeps those of its start.
+/// Like [`serve`], with limits that may change; each connection keeps those in effect when it was
+/// accepted.
 pub async fn serve_with_limits<H, F>(
     listener: TcpListener,
     shutdown: ShutdownHandle,
@@ -214,7 +216,7 @@
             connection.as_mut().graceful_shutdown();
             connection.await
         }
-        Either::Right((Either::Right(_), _)) => return Err("the head came too slowly".into()),
+        Either::Right((Either::Right(_), _)) => return Err("the request head took too long".into()),
     };
     result.map_err(Into::into)
 }
--- a/crates/lilaccrank-http/src/store_client.rs
+++ b/crates/lilaccrank-http/src/store_client.rs
@@ -1,8 +1,9 @@
-//! The store port over the platform's object API.
+//! Implements the store port over the platform's object API.
 //!
-//! `GET`, `PUT` and `DELETE /v1/objects/KEY`; the version travels in the header `Version`,
-//! conditions in `If-Version: N` and `If-Absent: 1`. `GET /v1/watch/KEY?seen=N&wait_ms=M`
-//! answers when the object's version is another one, or 304 when the wait is over.
+//! The API offers `GET`, `PUT` and `DELETE /v1/objects/KEY`, with the version in the header
+//! `Version` and conditions in `If-Version: N` and `If-Absent: 1`.
+//! `GET /v1/watch/KEY?seen=N&wait_ms=M` answers when the object's version differs from `N`, or with
+//! 304 after `M` milliseconds.
 
 use std::time::Duration;
 
@@ -15,19 +16,19 @@
 use crate::client::{self, Client, Limits};
 use crate::tally::Tally;
 
-/// Name of the header that carries a version.
+/// Header with the version of an object.
 pub const VERSION_HEADER: &str = "version";
-/// Name of the header that asks for a version.
+/// Header that makes a write conditional on a version.
 pub const IF_VERSION_HEADER: &str = "if-version";
-/// Name of the header that asks for absence.
+/// Header that makes a write conditional on the absence of the object.
 pub const IF_ABSENT_HEADER: &str = "if-absent";
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// A store that works answers in milliseconds.
+/// A healthy store answers in milliseconds.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client of the platform's store at one address.
+/// A client of the platform's store.
 #[derive(Clone)]
 pub struct StoreClient {
     address: String,
@@ -35,13 +36,13 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `address` (IP number and port).
+    /// Creates a client of the store at `address` (IP address and port).
     #[must_use]
     pub fn new(address: String) -> Self {
         Self::with_tally(address, Tally::default())
     }
 
-    /// Like [`new`](Self::new); what passes is counted in `tally`.
+    /// Like [`new`](Self::new), but counts the traffic in `tally`.
     #[must_use]
     pub fn with_tally(address: String, tally: Tally) -> Self {
         Self {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Reads a resource beside the objects, such as the list of vms.
+    /// Reads a resource other than an object, such as the list of VMs.
     ///
     /// # Errors
     ///
@@ -58,7 +59,7 @@
     pub async fn read(&self, path: &str) -> store::Result<Bytes> {
         let req = request(Method::GET, path.to_owned(), Expect::Any, Bytes::new());
         let (res, bytes) = self.exchange(req, HEAD_TIMEOUT).await?;
-        // The body of a refusal could pass for a list of nothing.
+        // Without this check, an error body could be parsed as an empty list.
         check_status(&res)?;
         Ok(bytes)
     }
--- a/crates/lilaccrank-http/src/tally.rs
+++ b/crates/lilaccrank-http/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts what passes through an adapter, so that the cost of control can be told from outside.
+//! Counts the bytes and messages of an adapter, so that control traffic can be measured.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -10,19 +10,19 @@
 use monoio::buf::{IoBuf, IoBufMut, IoVecBuf, IoVecBufMut};
 use monoio::io::{AsyncReadRent, AsyncWriteRent};
 
-/// Room for one counted read of hyper's.
+/// Size of the intermediate buffer for one hyper read, in bytes.
 const READ_BUFFER_SIZE: usize = 8 << 10;
 
-/// Bytes and messages in one direction.
+/// Byte and message counts for one direction.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Totals {
-    /// Bytes of the transport's payload, heads of HTTP included, TCP, UDP and IP not.
+    /// Transport payload bytes, including HTTP heads but not TCP, UDP or IP headers.
     pub bytes: u64,
-    /// Messages; a batch counts each of its messages.
+    /// Number of messages; each message of a batch is counted.
     pub messages: u64,
 }
 
-/// Counts both directions; clones share the counts.
+/// Traffic counters for both directions; clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     counts: Rc<Counts>,
@@ -35,34 +35,34 @@
 }
 
 impl Tally {
-    /// What came in.
+    /// Returns the totals of received traffic.
     #[must_use]
     pub fn received(&self) -> Totals {
         self.counts.received.get()
     }
 
-    /// What went out.
+    /// Returns the totals of sent traffic.
     #[must_use]
     pub fn sent(&self) -> Totals {
         self.counts.sent.get()
     }
 
-    /// Counts bytes in.
+    /// Adds to the received bytes.
     pub fn count_received_bytes(&self, bytes: usize) {
         add(&self.counts.received, bytes, 0);
     }
 
-    /// Counts messages in.
+    /// Adds to the received messages.
     pub fn count_received_messages(&self, messages: usize) {
         add(&self.counts.received, 0, messages);
     }
 
-    /// Counts bytes out.
+    /// Adds to the sent bytes.
     pub fn count_sent_bytes(&self, bytes: usize) {
         add(&self.counts.sent, bytes, 0);
     }
 
-    /// Counts messages out.
+    /// Adds to the sent messages.
     pub fn count_sent_messages(&self, messages: usize) {
         add(&self.counts.sent, 0, messages);
     }
@@ -76,7 +76,7 @@
     });
 }
 
-/// A transport whose bytes are counted.
+/// A transport that counts its bytes.
 pub(crate) struct Counted<T> {
     io: T,
     tally: Tally,
@@ -132,7 +132,7 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
-        // The cursor lends itself only by value, so the bytes pass through a buffer of our own.
+        // `poll_read` takes the cursor by value, so the bytes are read into a local buffer first.
         let mut buffer = [0; READ_BUFFER_SIZE];
         let capacity = buf.remaining().min(READ_BUFFER_SIZE);
         let mut read_buf = hyper::rt::ReadBuf::new(&mut buffer[..capacity]);
--- a/crates/lilaccrank-http/tests/suite.rs
+++ b/crates/lilaccrank-http/tests/suite.rs
@@ -1,4 +1,4 @@
-//! Tests of the adapters; a folder beside this file holds them by subject.
+//! Tests of the HTTP adapters, in one module per subject.
 
 #[path = "suite/client.rs"]
 mod client;
--- a/crates/lilaccrank-http/tests/suite/client.rs
+++ b/crates/lilaccrank-http/tests/suite/client.rs
@@ -1,4 +1,4 @@
-//! Connections that the client keeps and gives up.
+//! Tests which connections the client reuses and closes.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use lilaccrank_http::runtime;
 use lilaccrank_http::server::{self, ShutdownHandle};
 
-/// Longer than an idle connection is kept, shorter than a server would wait for its next request.
+/// Longer than the client keeps an idle connection, shorter than the server's idle timeout.
 const IDLE: Duration = Duration::from_secs(3);
 
-/// Serves empty answers; its address, and what counts its connections.
+/// Starts a server with empty responses; returns its address and a handle that counts connections.
 fn serve() -> (String, ShutdownHandle) {
     let listener = server::bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -22,9 +22,9 @@
     (address, shutdown)
 }
 
-// Requests that need a new connection each leave theirs behind for others, which never come. Both
-// ends would hold them for as long as the server likes: at thousands of targets a daemon runs out
-// of descriptors. They are closed once they are too old to be used.
+// Guards against a leak of pooled connections. Requests that require a new connection add to the
+// pool but never take from it, so a daemon with thousands of targets runs out of descriptors unless
+// expired connections are closed.
 #[test]
 fn unused_connections_are_closed() {
     runtime::block_on(async {
@@ -47,7 +47,7 @@
     .unwrap();
 }
 
-/// Connections that two requests open, the second some time after the first was answered.
+/// Checks how many connections two requests open, with a pause between them.
 macro_rules! connections_opened {
     ($name:ident, $max_idle_ms:literal, $pause_ms:literal, $connections:literal) => {
         #[test]
@@ -73,9 +73,9 @@
     };
 }
 
-// Something between both ends has lost a connection that rested. A request that can't be repeated
-// goes out on it, gets no answer, and its caller can't be told whether it ran. A connection is as
-// good as new only for as long as the sender says.
+// Guards against sending a request that is not safe to retry on a stale connection. A middlebox may
+// have dropped the idle connection; the request then gets no response, and whether it ran is
+// unknown. The sender limits the idle time of a reused connection.
 connections_opened!(zero_max_idle_opens_new_connection, 0, 5, 2);
 connections_opened!(recently_used_connection_is_reused, 600, 5, 1);
 connections_opened!(stale_connection_is_not_reused, 100, 300, 2);
--- a/crates/lilaccrank-http/tests/suite/compression.rs
+++ b/crates/lilaccrank-http/tests/suite/compression.rs
@@ -1,4 +1,4 @@
-//! Bodies between daemons come out as they went in, smaller on the way where that pays.
+//! Tests the compression of bodies sent between daemons.
 
 use lilaccrank_http::compression::{self, EncodedBody};
 use quickcheck::quickcheck;
@@ -41,7 +41,7 @@
     }
 }
 
-// A few bytes that claim to be 64 MB of zeros end with an error, not with 64 MB.
+// Guards against a small body that decompresses to 64 MB.
 #[test]
 fn decompression_bomb_is_an_error() {
     let mut encoder = flate2::write::ZlibEncoder::new(Vec::new(), flate2::Compression::best());
--- a/crates/lilaccrank-http/tests/suite/events.rs
+++ b/crates/lilaccrank-http/tests/suite/events.rs
@@ -1,4 +1,4 @@
-//! Streams of events, cut into whole events however their bytes come.
+//! Tests the splitting of byte streams into server-sent events.
 
 use lilaccrank_http::events::{Error, EventSplitter};
 
@@ -17,7 +17,7 @@
     events
 }
 
-// Bytes come as the network likes; each event passes on unchanged, and only when it is whole.
+// Chunks may end anywhere; each event must be returned unchanged, and only when it is complete.
 #[test]
 fn chunk_boundaries_do_not_change_events() {
     let bytes = STREAM.as_bytes();
@@ -33,7 +33,7 @@
     }
 }
 
-/// What is left over of a stream that stops at some place.
+/// Checks how many events a truncated stream yields and if an incomplete one is left.
 macro_rules! truncated {
     ($name:ident, $stream:literal, $events:literal, $in_event:literal) => {
         #[test]
@@ -49,14 +49,14 @@
     };
 }
 
-// A target dies in the middle of an event. What there is of it must not reach the caller, nor pass
-// for an event.
+// A target fails in the middle of an event. The incomplete event must not reach the caller or count
+// as an event.
 truncated!(between_events, b"id: 1\ndata: a\n\n", 1, false);
 truncated!(in_id, b"id: 1\ndata: a\n\nid:", 1, true);
 truncated!(in_data, b"id: 1\ndata: a\n\nid: 2\ndata: b", 1, true);
 truncated!(before_empty_line, b"id: 1\ndata: a\n", 0, true);
 
-// A stream that never ends an event would fill the memory.
+// Guards against unbounded memory use by a stream that never ends an event.
 #[test]
 fn unterminated_event_is_an_error() {
     let mut splitter = EventSplitter::default();
--- a/crates/lilaccrank-http/tests/suite/server.rs
+++ b/crates/lilaccrank-http/tests/suite/server.rs
@@ -1,4 +1,4 @@
-//! How long callers may take, and how their connections end.
+//! Tests the server's timeouts and how its connections end.
 
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
@@ -20,7 +20,7 @@
     idle_timeout: Duration::from_millis(900),
 };
 
-/// Serves while a caller's thread runs.
+/// Runs a server until the caller's thread ends.
 fn serve(shutdown: &ShutdownHandle, caller: impl FnOnce(SocketAddr) + Send + 'static) {
     runtime::block_on(async {
         let listener = server::bind("127.0.0.1:0".parse().unwrap()).unwrap();
@@ -50,7 +50,7 @@
     stream
 }
 
-/// Sends a whole request; the answer as text, empty if the connection has ended.
+/// Sends a complete request and returns the response as text, empty if the connection is closed.
 fn request(stream: &mut TcpStream) -> String {
     if stream.write_all(HEAD.as_bytes()).is_err() {
         return String::new();
@@ -63,9 +63,9 @@
     }
 }
 
-// A caller keeps its connection and rests for longer than a head may take, as callers of the
-// balancer do between two requests. A timeout that runs from the last answer would close the
-// connection under its next request.
+// A caller keeps its connection idle for longer than the head timeout, as callers do between two
+// requests. A timeout that starts at the last response would close the connection under the next
+// request.
 #[test]
 fn idle_connection_outlives_head_timeout() {
     serve(&ShutdownHandle::default(), |address| {
@@ -76,8 +76,8 @@
     });
 }
 
-// A caller sends its head byte by byte and holds a connection for as long as it likes. The time
-// runs from the first byte.
+// Guards against a caller that holds a connection by sending its head byte by byte. The timeout
+// starts at the first byte.
 #[test]
 fn slow_head_closes_connection() {
     serve(&ShutdownHandle::default(), |address| {
@@ -95,7 +95,7 @@
     });
 }
 
-// A connection on which nothing comes is closed in the end.
+// A connection without requests is closed after the idle timeout.
 #[test]
 fn idle_connection_is_closed() {
     serve(&ShutdownHandle::default(), |address| {
@@ -108,13 +108,13 @@
     });
 }
 
-// A head that is too large is refused with a word, and hurts nobody else.
+// An oversized head is refused and does not affect other connections.
 #[test]
 fn oversized_head_is_refused() {
     serve(&ShutdownHandle::default(), |address| {
         let mut stream = connect(address);
         let head = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "x".repeat(32 << 10));
-        // The answer may come, and end the connection, before all of it is sent.
+        // The server may respond and close the connection before the whole head is sent.
         let _ = stream.write_all(head.as_bytes());
         let mut buf = [0; 64];
         let read = stream.read(&mut buf).unwrap_or(0);
@@ -124,8 +124,8 @@
     });
 }
 
-// A daemon is told to end. A caller sends on its open connection just then: it is served, and told
-// not to send more there. Closed from this side, the connection could have had the request on it.
+// A request on an open connection during shutdown is answered with `Connection: close`. If the
+// server closed the connection instead, a request already in flight would be lost.
 #[test]
 fn draining_sends_connection_close() {
     let shutdown = ShutdownHandle::default();
