--- a/crates/lilaccrank-http/tests/suite.rs
+++ b/crates/lilaccrank-http/tests/suite.rs
@@ -1,10 +1,10 @@
-//! Tests of the adapters; a folder beside this file holds them by subject.
+//! Tests of the HTTP adapters, in one module per subject.
 
 #[path = "suite/client.rs"]
 mod client;
+#[path = "suite/compression.rs"]
+mod compression;
 #[path = "suite/events.rs"]
 mod events;
-#[path = "suite/packing.rs"]
-mod packing;
 #[path = "suite/server.rs"]
 mod server;
--- a/crates/lilaccrank-http/tests/suite/server.rs
+++ b/crates/lilaccrank-http/tests/suite/server.rs
@@ -1,4 +1,4 @@
-//! How long callers may take, and how their connections end.
+//! Tests the server's timeouts and how its connections end.
 
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
@@ -11,22 +11,22 @@
 use hyper::Response;
 use lilaccrank_http::body;
 use lilaccrank_http::runtime;
-use lilaccrank_http::server::{self, Closing, HeadLimits};
+use lilaccrank_http::server::{self, HeadLimits, ShutdownHandle};
 
 const HEAD: &str = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 const LIMITS: HeadLimits = HeadLimits {
     head_bytes: 8 << 10,
-    head_time: Duration::from_millis(200),
-    idle: Duration::from_millis(900),
+    head_timeout: Duration::from_millis(200),
+    idle_timeout: Duration::from_millis(900),
 };
 
-/// Serves while a caller's thread runs.
-fn serve(closing: &Closing, caller: impl FnOnce(SocketAddr) + Send + 'static) {
+/// Runs a server until the caller's thread ends.
+fn serve(shutdown: &ShutdownHandle, caller: impl FnOnce(SocketAddr) + Send + 'static) {
     runtime::block_on(async {
         let listener = server::bind("127.0.0.1:0".parse().unwrap()).unwrap();
         let address = listener.local_addr().unwrap();
         let limits = Rc::new(Cell::new(LIMITS));
-        let serving = server::serve_within(listener, closing.clone(), limits, |_| async {
+        let serving = server::serve_with_limits(listener, shutdown.clone(), limits, |_| async {
             Response::new(body::full("whole"))
         });
         monoio::spawn(serving);
@@ -50,8 +50,8 @@
     stream
 }
 
-/// Sends a whole request; the answer as text, empty if the connection has ended.
-fn ask(stream: &mut TcpStream) -> String {
+/// Sends a complete request and returns the response as text, empty if the connection is closed.
+fn request(stream: &mut TcpStream) -> String {
     if stream.write_all(HEAD.as_bytes()).is_err() {
         return String::new();
     }
@@ -63,26 +63,26 @@
     }
 }
 
-// A caller keeps its connection and rests for longer than a head may take, as callers of the
-// balancer do between two requests. A timeout that runs from the last answer would close the
-// connection under its next request.
+// A caller keeps its connection idle for longer than the head timeout, as callers do between two
+// requests. A timeout that starts at the last response would close the connection under the next
+// request.
 #[test]
-fn a_resting_connection_is_no_slow_head() {
-    serve(&Closing::default(), |address| {
+fn idle_connection_outlives_head_timeout() {
+    serve(&ShutdownHandle::default(), |address| {
         let mut stream = connect(address);
-        assert!(ask(&mut stream).contains("200 OK"));
-        thread::sleep(LIMITS.head_time * 3);
-        assert!(ask(&mut stream).contains("200 OK"));
+        assert!(request(&mut stream).contains("200 OK"));
+        thread::sleep(LIMITS.head_timeout * 3);
+        assert!(request(&mut stream).contains("200 OK"));
     });
 }
 
-// A caller sends its head byte by byte and holds a connection for as long as it likes. The time
-// runs from the first byte.
+// Guards against a caller that holds a connection by sending its head byte by byte. The timeout
+// starts at the first byte.
 #[test]
-fn a_slow_head_ends_its_connection() {
-    serve(&Closing::default(), |address| {
+fn slow_head_closes_connection() {
+    serve(&ShutdownHandle::default(), |address| {
         let mut stream = connect(address);
-        assert!(ask(&mut stream).contains("200 OK"));
+        assert!(request(&mut stream).contains("200 OK"));
         let begun = Instant::now();
         let mut cut = false;
         for byte in HEAD.as_bytes() {
@@ -95,48 +95,48 @@
     });
 }
 
-// A connection on which nothing comes is closed in the end.
+// A connection without requests is closed after the idle timeout.
 #[test]
-fn a_connection_does_not_rest_for_ever() {
-    serve(&Closing::default(), |address| {
+fn idle_connection_is_closed() {
+    serve(&ShutdownHandle::default(), |address| {
         let mut stream = connect(address);
-        assert!(ask(&mut stream).contains("200 OK"));
+        assert!(request(&mut stream).contains("200 OK"));
         let mut buf = [0; 64];
         let begun = Instant::now();
         assert_eq!(stream.read(&mut buf).unwrap_or(0), 0);
-        assert!(begun.elapsed() >= LIMITS.idle / 2);
+        assert!(begun.elapsed() >= LIMITS.idle_timeout / 2);
     });
 }
 
-// A head that is too large is refused with a word, and hurts nobody else.
+// An oversized head is refused and does not affect other connections.
 #[test]
-fn a_large_head_is_refused() {
-    serve(&Closing::default(), |address| {
+fn oversized_head_is_refused() {
+    serve(&ShutdownHandle::default(), |address| {
         let mut stream = connect(address);
         let head = format!("GET / HTTP/1.1\r\nx: {}\r\n\r\n", "x".repeat(32 << 10));
-        // The answer may come, and end the connection, before all of it is sent.
+        // The server may respond and close the connection before the whole head is sent.
         let _ = stream.write_all(head.as_bytes());
         let mut buf = [0; 64];
         let read = stream.read(&mut buf).unwrap_or(0);
         let answer = String::from_utf8_lossy(&buf[..read]).into_owned();
         assert!(answer.is_empty() || answer.contains("431"), "{answer}");
-        assert!(ask(&mut connect(address)).contains("200 OK"));
+        assert!(request(&mut connect(address)).contains("200 OK"));
     });
 }
 
-// A daemon is told to end. A caller sends on its open connection just then: it is served, and told
-// not to send more there. Closed from this side, the connection could have had the request on it.
+// A request on an open connection during shutdown is answered with `Connection: close`. If the
+// server closed the connection instead, a request already in flight would be lost.
 #[test]
-fn winding_down_answers_and_says_so() {
-    let closing = Closing::default();
-    closing.wind_down();
-    serve(&closing, |address| {
+fn draining_sends_connection_close() {
+    let shutdown = ShutdownHandle::default();
+    shutdown.drain();
+    serve(&shutdown, |address| {
         let mut stream = connect(address);
-        let answer = ask(&mut stream);
+        let answer = request(&mut stream);
         assert!(
             answer.contains("200 OK") && answer.contains("connection: close"),
             "{answer}"
         );
-        assert_eq!(ask(&mut stream), "");
+        assert_eq!(request(&mut stream), "");
     });
 }
