--- /dev/null
+++ b/crates/lilaccrank-http/src/head_timer.rs
@@ -0,0 +1,150 @@
+//! Limits how long a caller may take to send a request head.
+//!
+//! hyper's header timeout starts at the end of the previous response, so it can't distinguish a
+//! connection that is idle between requests from a caller that sends its head byte by byte. This
+//! timer runs from the first byte of a head to the last.
+
+use std::cell::Cell;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::{Duration, Instant};
+
+use event_listener::Event;
+use hyper::body::{Body, Frame, SizeHint};
+use hyper::rt::{Read, ReadBufCursor, Write};
+
+/// Progress of the current request on a connection.
+#[derive(Default)]
+struct State {
+    started: Event,
+    in_request: Cell<bool>,
+    started_at: Cell<Option<Instant>>,
+}
+
+/// Measures the time to receive each request head on a connection; clones share the state.
+#[derive(Clone, Default)]
+pub(crate) struct HeadTimer {
+    state: Rc<State>,
+}
+
+/// Marks a request as in progress until dropped.
+pub(crate) struct RequestGuard(HeadTimer);
+
+/// A transport that starts the timer at the first byte of each head.
+pub(crate) struct TimedIo<T> {
+    io: T,
+    head_timer: HeadTimer,
+}
+
+/// A response body that holds the guard of its request.
+pub(crate) struct GuardedBody<B> {
+    body: B,
+    _guard: RequestGuard,
+}
+
+impl HeadTimer {
+    /// Stops the timer after a complete head and marks the request as in progress.
+    pub(crate) fn begin_request(&self) -> RequestGuard {
+        self.state.in_request.set(true);
+        self.state.started_at.set(None);
+        RequestGuard(self.clone())
+    }
+
+    /// Completes when a head takes longer than `limit`.
+    pub(crate) async fn timed_out(&self, limit: Duration) {
+        loop {
+            let listener = self.state.started.listen();
+            let Some(started_at) = self.state.started_at.get() else {
+                listener.await;
+                continue;
+            };
+            monoio::time::sleep_until((started_at + limit).into()).await;
+            if self.state.started_at.get() == Some(started_at) {
+                return;
+            }
+        }
+    }
+
+    fn on_read(&self) {
+        let is_first_read = !self.state.in_request.get() && self.state.started_at.get().is_none();
+        if is_first_read {
+            self.state.started_at.set(Some(Instant::now()));
+            self.state.started.notify(usize::MAX);
+        }
+    }
+}
+
+impl Drop for RequestGuard {
+    fn drop(&mut self) {
+        self.0.state.in_request.set(false);
+    }
+}
+
+impl<T> TimedIo<T> {
+    pub(crate) fn new(io: T, head_timer: HeadTimer) -> Self {
+        Self { io, head_timer }
+    }
+}
+
+impl<B> GuardedBody<B> {
+    pub(crate) fn new(body: B, guard: RequestGuard) -> Self {
+        Self {
+            body,
+            _guard: guard,
+        }
+    }
+}
+
+impl<B: Body + Unpin> Body for GuardedBody<B> {
+    type Data = B::Data;
+    type Error = B::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<B::Data>, B::Error>>> {
+        Pin::new(&mut self.body).poll_frame(cx)
+    }
+
+    fn is_end_stream(&self) -> bool {
+        self.body.is_end_stream()
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        self.body.size_hint()
+    }
+}
+
+impl<T: Read + Unpin> Read for TimedIo<T> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: ReadBufCursor<'_>,
+    ) -> Poll<std::io::Result<()>> {
+        let polled = Pin::new(&mut self.io).poll_read(cx, buf);
+        // End of stream also starts the timer, which is harmless because the connection ends.
+        if polled.is_ready() {
+            self.head_timer.on_read();
+        }
+        polled
+    }
+}
+
+impl<T: Write + Unpin> Write for TimedIo<T> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<std::io::Result<usize>> {
+        Pin::new(&mut self.io).poll_write(cx, buf)
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+        Pin::new(&mut self.io).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<std::io::Result<()>> {
+        Pin::new(&mut self.io).poll_shutdown(cx)
+    }
+}
--- a/crates/lilaccrank-http/src/peer_server.rs
+++ b/crates/lilaccrank-http/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers the calls of peers: one task for each connection, one handler call for each message.
+//! Serves calls from peers, with one task per connection and one handler call per message.
 
 use std::future::Future;
 
@@ -18,10 +18,10 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::packing::{self, Packed};
+use crate::compression::{self, EncodedBody};
 use crate::tally::{Counted, Tally};
 
-/// Accepts peers' connections for as long as the daemon runs; what passes is counted in `tally`.
+/// Accepts connections from peers as long as the daemon runs and counts the traffic in `tally`.
 pub async fn serve<Req, Rep, H, F>(listener: TcpListener, tally: Tally, handler: H)
 where
     Req: DeserializeOwned + 'static,
@@ -34,7 +34,7 @@
             Ok((stream, _)) => {
                 monoio::spawn(serve_connection(stream, tally.clone(), handler.clone()));
             }
-            Err(e) => log::warn!("accept of a peer failed: {e}"),
+            Err(e) => log::warn!("accept of a peer connection failed: {e}"),
         }
     }
 }
@@ -53,7 +53,7 @@
     let mut encoder = GenericEncoder::new(Counted::new(w, tally.clone()));
     let mut decoder = RequestDecoder::new(Counted::new(r, tally.clone()));
     while let Some(Ok(req)) = decoder.next().await {
-        let deflated = packing::is_marked(req.headers());
+        let deflated = compression::is_deflated(req.headers());
         let Payload::Fixed(mut payload) = Request::into_body(req) else {
             return;
         };
@@ -64,7 +64,7 @@
             return;
         };
         let buf = body.into();
-        let Ok(body) = packing::unpack(Packed { buf, deflated }) else {
+        let Ok(body) = compression::decompress(EncodedBody { buf, deflated }) else {
             return;
         };
         let res = answer(&body, &tally, &handler).await;
@@ -74,8 +74,8 @@
     }
 }
 
-/// Handles the messages of a batch at the same time, so that one that waits for a third daemon
-/// does not hold up the others in their turn.
+/// Handles the messages of a batch concurrently, so that a message that waits for a third daemon
+/// does not block the others.
 async fn answer<Req, Rep, H, F>(body: &[u8], tally: &Tally, handler: &H) -> Response
 where
     Req: DeserializeOwned,
@@ -86,29 +86,29 @@
     let reqs: Vec<Req> = match rmp_serde::from_slice(body) {
         Ok(reqs) => reqs,
         Err(e) => {
-            log::warn!("a peer's batch can't be read: {e}");
+            log::warn!("can't decode a batch from a peer: {e}");
             return respond(StatusCode::BAD_REQUEST, Vec::new());
         }
     };
-    tally.receive_messages(reqs.len());
+    tally.count_received_messages(reqs.len());
     let replies = future::join_all(reqs.into_iter().map(handler)).await;
-    tally.send_messages(replies.len());
+    tally.count_sent_messages(replies.len());
     match rmp_serde::to_vec_named(&replies) {
         Ok(buf) => respond(StatusCode::OK, buf),
         Err(e) => {
-            log::warn!("a reply can't be written: {e}");
+            log::warn!("can't encode replies to a peer: {e}");
             respond(StatusCode::INTERNAL_SERVER_ERROR, Vec::new())
         }
     }
 }
 
 fn respond(status: StatusCode, buf: Vec<u8>) -> Response {
-    let packed = packing::pack(buf);
-    let payload = FixedPayload::<Bytes, HttpError>::new(packed.buf.into());
+    let encoded = compression::compress(buf);
+    let payload = FixedPayload::<Bytes, HttpError>::new(encoded.buf.into());
     let mut res = Response::new(Payload::Fixed(payload));
     *res.status_mut() = status;
-    if packed.deflated {
-        packing::mark(res.headers_mut());
+    if encoded.deflated {
+        compression::set_deflated(res.headers_mut());
     }
     res
 }
--- a/crates/lilaccrank-http/src/store_client.rs
+++ b/crates/lilaccrank-http/src/store_client.rs
@@ -1,8 +1,9 @@
-//! The store port over the platform's object API.
+//! Implements the store port over the platform's object API.
 //!
-//! `GET`, `PUT` and `DELETE /v1/objects/KEY`; the version travels in the header `Version`,
-//! conditions in `If-Version: N` and `If-Absent: 1`. `GET /v1/watch/KEY?seen=N&wait_ms=M`
-//! answers when the object's version is another one, or 304 when the wait is over.
+//! The API offers `GET`, `PUT` and `DELETE /v1/objects/KEY`, with the version in the header
+//! `Version` and conditions in `If-Version: N` and `If-Absent: 1`.
+//! `GET /v1/watch/KEY?seen=N&wait_ms=M` answers when the object's version differs from `N`, or with
+//! 304 after `M` milliseconds.
 
 use std::time::Duration;
 
@@ -15,19 +16,19 @@
 use crate::client::{self, Client, Limits};
 use crate::tally::Tally;
 
-/// Name of the header that carries a version.
-pub const VERSION: &str = "version";
-/// Name of the header that asks for a version.
-pub const IF_VERSION: &str = "if-version";
-/// Name of the header that asks for absence.
-pub const IF_ABSENT: &str = "if-absent";
+/// Header with the version of an object.
+pub const VERSION_HEADER: &str = "version";
+/// Header that makes a write conditional on a version.
+pub const IF_VERSION_HEADER: &str = "if-version";
+/// Header that makes a write conditional on the absence of the object.
+pub const IF_ABSENT_HEADER: &str = "if-absent";
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// A store that works answers in milliseconds.
+/// A healthy store answers in milliseconds.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A client of the platform's store at one address.
+/// A client of the platform's store.
 #[derive(Clone)]
 pub struct StoreClient {
     address: String,
@@ -35,22 +36,22 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `address` (IP number and port).
+    /// Creates a client of the store at `address` (IP address and port).
     #[must_use]
     pub fn new(address: String) -> Self {
-        Self::counted(address, Tally::default())
+        Self::with_tally(address, Tally::default())
     }
 
-    /// Like [`new`](Self::new); what passes is counted in `tally`.
+    /// Like [`new`](Self::new), but counts the traffic in `tally`.
     #[must_use]
-    pub fn counted(address: String, tally: Tally) -> Self {
+    pub fn with_tally(address: String, tally: Tally) -> Self {
         Self {
             address,
-            client: Client::counted(tally),
+            client: Client::with_tally(tally),
         }
     }
 
-    /// Reads a resource beside the objects, such as the list of vms.
+    /// Reads a resource other than an object, such as the list of VMs.
     ///
     /// # Errors
     ///
@@ -58,8 +59,8 @@
     pub async fn read(&self, path: &str) -> store::Result<Bytes> {
         let req = request(Method::GET, path.to_owned(), Expect::Any, Bytes::new());
         let (res, bytes) = self.exchange(req, HEAD_TIMEOUT).await?;
-        // The body of a refusal could pass for a list of nothing.
-        written(&res)?;
+        // Without this check, an error body could be parsed as an empty list.
+        check_status(&res)?;
         Ok(bytes)
     }
 
@@ -70,12 +71,12 @@
     ) -> store::Result<(Response<()>, Bytes)> {
         let limits = Limits {
             connect: CONNECT_TIMEOUT,
-            rest: client::PROVED_FOR,
+            max_idle: client::MAX_IDLE,
             head,
         };
         let sent = self.client.send(&self.address, req, limits).await;
         let (res, connection) = sent.map_err(|e| {
-            if e.sent_nothing() {
+            if e.is_unsent() {
                 store::Error::Unavailable
             } else {
                 store::Error::Unknown
@@ -94,25 +95,25 @@
 
 impl Store for StoreClient {
     async fn get(&self, key: &str) -> store::Result<Option<Versioned>> {
-        let req = request(Method::GET, object(key), Expect::Any, Bytes::new());
+        let req = request(Method::GET, object_path(key), Expect::Any, Bytes::new());
         let (res, value) = self.exchange(req, HEAD_TIMEOUT).await?;
-        found(&res, value)
+        parse_object(&res, value)
     }
 
     async fn put(&self, key: &str, value: Bytes, expect: Expect) -> store::Result<Version> {
         if value.len() > store::VALUE_LIMIT {
             return Err(store::Error::TooLarge { size: value.len() });
         }
-        let req = request(Method::PUT, object(key), expect, value);
+        let req = request(Method::PUT, object_path(key), expect, value);
         let (res, _) = self.exchange(req, HEAD_TIMEOUT).await?;
-        written(&res)?;
+        check_status(&res)?;
         version(&res).ok_or(store::Error::Unknown)
     }
 
     async fn delete(&self, key: &str, expect: Expect) -> store::Result<()> {
-        let req = request(Method::DELETE, object(key), expect, Bytes::new());
+        let req = request(Method::DELETE, object_path(key), expect, Bytes::new());
         let (res, _) = self.exchange(req, HEAD_TIMEOUT).await?;
-        written(&res)
+        check_status(&res)
     }
 
     async fn watch(
@@ -128,11 +129,11 @@
         if res.status() == StatusCode::NOT_MODIFIED {
             return self.get(key).await;
         }
-        found(&res, value)
+        parse_object(&res, value)
     }
 }
 
-fn object(key: &str) -> String {
+fn object_path(key: &str) -> String {
     format!("/v1/objects/{key}")
 }
 
@@ -147,18 +148,23 @@
     );
     match expect {
         Expect::Absent => {
-            headers.insert(IF_ABSENT, 1.into());
+            headers.insert(IF_ABSENT_HEADER, 1.into());
         }
         Expect::Any => {}
         Expect::Version(version) => {
-            headers.insert(IF_VERSION, version.into());
+            headers.insert(IF_VERSION_HEADER, version.into());
         }
     }
     req
 }
 
 fn version(res: &Response<()>) -> Option<Version> {
-    res.headers().get(VERSION)?.to_str().ok()?.parse().ok()
+    res.headers()
+        .get(VERSION_HEADER)?
+        .to_str()
+        .ok()?
+        .parse()
+        .ok()
 }
 
 fn retry_after(res: &Response<()>) -> Duration {
@@ -168,16 +174,16 @@
         .map_or(DEFAULT_RETRY_AFTER, Duration::from_secs)
 }
 
-fn found(res: &Response<()>, value: Bytes) -> store::Result<Option<Versioned>> {
+fn parse_object(res: &Response<()>, value: Bytes) -> store::Result<Option<Versioned>> {
     if res.status() == StatusCode::NOT_FOUND {
         return Ok(None);
     }
-    written(res)?;
+    check_status(res)?;
     let version = version(res).ok_or(store::Error::Unknown)?;
     Ok(Some(Versioned { value, version }))
 }
 
-fn written(res: &Response<()>) -> store::Result<()> {
+fn check_status(res: &Response<()>) -> store::Result<()> {
     match res.status() {
         status if status.is_success() => Ok(()),
         StatusCode::PRECONDITION_FAILED => Err(store::Error::Conflict {
--- a/crates/lilaccrankd/src/daemon.rs
+++ b/crates/lilaccrankd/src/daemon.rs
@@ -54,8 +54,8 @@
 const STORE_CLAIMS_BURST: f64 = 10.0;
 /// Part of the lease reserved for the time from the check until the request reaches the target.
 const LEASE_MARGIN: Duration = Duration::from_millis(250);
-/// Timeout of a query to the keeper of a key.
-const KEEPER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a query to the owner of a key.
+const KEY_OWNER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Shared state of a daemon's tasks.
 pub struct Daemon {
@@ -78,8 +78,8 @@
     in_force: RefCell<Option<Rc<InForce>>>,
     in_progress: Cell<usize>,
     incarnation: Incarnation,
-    /// Records of the request keys that this daemon keeps.
-    pub keeper: KeyOwner<MonoioClock, PeerNetwork, Duties>,
+    /// Records of the request keys that this daemon owns.
+    pub key_owner: KeyOwner<MonoioClock, PeerNetwork, Duties>,
     keys_settled: Cell<bool>,
     /// Set at the start of a shutdown; makes the readiness check fail.
     pub leaving: Cell<bool>,
@@ -155,11 +155,11 @@
             timeline.clone(),
             Rc::clone(&traffic),
         );
-        let report_client = Client::counted(traffic.target_reports.clone());
-        let platform = StoreClient::counted(cfg.platform.to_string(), traffic.store.clone());
+        let report_client = Client::with_tally(traffic.target_reports.clone());
+        let platform = StoreClient::with_tally(cfg.platform.to_string(), traffic.store.clone());
         let guards = guarded_store::Settings::default();
         let store = GuardedStore::new(guards, platform.clone(), MonoioClock);
-        let keeper = KeyOwner::new(
+        let key_owner = KeyOwner::new(
             MonoioClock,
             peers.clone(),
             duties.clone(),
@@ -167,7 +167,7 @@
         );
         let per_s = f64::from(cfg.store_claims_per_s);
         let budget = Budget::new(MonoioClock, per_s, per_s * STORE_CLAIMS_BURST);
-        let claims = Claims::new(keeper.clone(), store.clone(), budget, KEEPER_TIMEOUT);
+        let claims = Claims::new(key_owner.clone(), store.clone(), budget, KEY_OWNER_TIMEOUT);
         let order_manager = OrderManager::new(&cfg, incarnation, store.clone());
         Ok(Self {
             adoption: Adoption::new(),
@@ -183,7 +183,7 @@
             in_force: RefCell::default(),
             in_progress: Cell::new(0),
             incarnation,
-            keeper,
+            key_owner,
             keys_settled: Cell::new(false),
             head_limits: Rc::default(),
             platform_contact: PlatformContact::default(),
@@ -275,7 +275,7 @@
         if !self.cfg.request_keys {
             return true;
         }
-        let settled = self.keys_settled.get() || self.keeper.is_settled();
+        let settled = self.keys_settled.get() || self.key_owner.is_settled();
         self.keys_settled.set(settled);
         settled
     }
@@ -366,8 +366,8 @@
 fn head_limits(configured: Option<CallerLimits>) -> HeadLimits {
     configured.map_or_else(HeadLimits::default, |limits| HeadLimits {
         head_bytes: limits.head_bytes,
-        head_time: Duration::from_millis(limits.head_ms),
-        idle: Duration::from_millis(limits.idle_ms),
+        head_timeout: Duration::from_millis(limits.head_ms),
+        idle_timeout: Duration::from_millis(limits.idle_ms),
     })
 }
 
--- a/crates/lilaccrankd/src/serve.rs
+++ b/crates/lilaccrankd/src/serve.rs
@@ -11,7 +11,7 @@
 use lilaccrank::membership;
 use lilaccrank::request_key::Ranking;
 use lilaccrank_http::monoio_clock::MonoioClock;
-use lilaccrank_http::server::Closing;
+use lilaccrank_http::server::ShutdownHandle;
 use lilaccrank_http::{peer_server, runtime, server};
 use monoio::net::TcpListener;
 use thiserror::Error;
@@ -42,8 +42,8 @@
 
 /// Interval at which expired answers and claims are removed.
 const EXPIRE_EVERY: Duration = Duration::from_secs(1);
-/// Interval at which the keeper checks for pauses of the process and for expired keys.
-const KEEPER_TICK: Duration = Duration::from_millis(100);
+/// Interval at which the key owner checks for pauses of the process and for expired keys.
+const KEY_OWNER_TICK: Duration = Duration::from_millis(100);
 
 /// Why the daemon can't run.
 #[derive(Debug, Error)]
@@ -106,14 +106,14 @@
     monoio::spawn(follow_members(Rc::clone(&daemon)));
     monoio::spawn(expire(Rc::clone(&daemon)));
     if daemon.cfg.request_keys {
-        start_keeper(&daemon);
+        start_key_owner(&daemon);
     }
     let shared = Rc::clone(&daemon);
     let tally = traffic.peer_served.clone();
     monoio::spawn(peer_server::serve(peer_listener, tally, move |req| {
         answer_peer(Rc::clone(&shared), req)
     }));
-    let admin_closing = Closing::default();
+    let admin_closing = ShutdownHandle::default();
     let (shared, admin_signals) = (Rc::clone(&daemon), signals.clone());
     monoio::spawn(server::serve(
         admin_listener,
@@ -122,14 +122,16 @@
     ));
     if let Some(listener) = readiness_listener {
         let shared = Rc::clone(&daemon);
-        monoio::spawn(server::serve(listener, Closing::default(), move |_| {
-            future::ready(admin::readiness(&shared))
-        }));
+        monoio::spawn(server::serve(
+            listener,
+            ShutdownHandle::default(),
+            move |_| future::ready(admin::readiness(&shared)),
+        ));
     }
-    let closing = Closing::default();
+    let closing = ShutdownHandle::default();
     let shared = Rc::clone(&daemon);
     let limits = Rc::clone(&daemon.head_limits);
-    monoio::spawn(server::serve_within(
+    monoio::spawn(server::serve_with_limits(
         caller_listener,
         closing.clone(),
         limits,
@@ -149,9 +151,9 @@
     Ok(())
 }
 
-fn start_keeper(daemon: &Rc<Daemon>) {
-    let keeper = daemon.keeper.clone();
-    monoio::spawn(async move { keeper.run(KEEPER_TICK).await });
+fn start_key_owner(daemon: &Rc<Daemon>) {
+    let key_owner = daemon.key_owner.clone();
+    monoio::spawn(async move { key_owner.run(KEY_OWNER_TICK).await });
     let claims = daemon.claims.clone();
     monoio::spawn(async move { claims.sweep_every(EXPIRE_EVERY).await });
 }
@@ -194,7 +196,7 @@
             identity: daemon.adoption.identity(),
         }
         .into(),
-        PeerRequest::Key(req) => daemon.keeper.handle(req).await.into(),
+        PeerRequest::Key(req) => daemon.key_owner.handle(req).await.into(),
         PeerRequest::Feed(asked) => feed::answer(&daemon, &asked).into(),
         PeerRequest::Order(req) => jobs::handle(&daemon, req).into(),
         PeerRequest::Pool(req) => pools::server::handle(&daemon, req).into(),
