--- a/crates/lilaccrank/src/dispatch/admission.rs
+++ b/crates/lilaccrank/src/dispatch/admission.rs
@@ -177,7 +177,7 @@
             return None;
         }
         let mut live = self.targets.values().filter(|target| target.live);
-        if live.all(|target| submission.exclusions.contains(&target.life)) {
+        if live.all(|target| submission.exclusions.contains(&target.instance)) {
             let retry = Some(self.drain.retry_after(0, 0.0, now));
             return Some(state::refusal_of(submission, ErrorKind::NoTarget, retry));
         }
--- a/crates/lilaccrank/src/dispatch/choice.rs
+++ b/crates/lilaccrank/src/dispatch/choice.rs
@@ -6,7 +6,7 @@
 
 use super::affinity::Affinity;
 use super::health;
-use super::queue::{Priority, SizeClass};
+use super::queue::{Priority, RequestClass};
 use super::reservation::Reservation;
 use super::target::Target;
 use super::work::Work;
@@ -68,8 +68,8 @@
     pub exclusions: &'a [TargetInstance],
     /// Time until the caller expects the first token, if it has an objective.
     pub objective: Option<Duration>,
-    /// Size class of the submission in the queue.
-    pub size_class: SizeClass,
+    /// Request class of the submission in the queue.
+    pub request_class: RequestClass,
     /// Digests of the blocks of the prompt.
     pub prefix: &'a [u64],
     /// Priority of the submission.
@@ -135,12 +135,12 @@
         })
     }
 
-    /// Returns `true` if the pool as a whole has capacity for this tier and size class. Non-urgent
-    /// work leaves some slots free, and keeps a quarter of the targets free of long prompts:
-    /// prefill can't be interrupted, and with a long prompt on every target a short urgent request
-    /// would wait for seconds.
+    /// Returns `true` if the pool as a whole has capacity for this tier and request class.
+    /// Non-urgent work leaves some slots free, and keeps a quarter of the targets free of long
+    /// prompts: prefill can't be interrupted, and with a long prompt on every target a short urgent
+    /// request would wait for seconds.
     #[must_use]
-    pub fn admits(self, tier: Tier, size_class: SizeClass, prefill: u64) -> bool {
+    pub fn admits(self, tier: Tier, request_class: RequestClass, prefill: u64) -> bool {
         if is_urgent(tier) {
             return true;
         }
@@ -149,7 +149,7 @@
             slots => slots.div_ceil(HEADROOM_DIVISOR),
         };
         let max_long_prefills = (self.healthy_targets - self.healthy_targets / 4).max(1);
-        let is_long = size_class == SizeClass::Long || prefill > LONG_PROMPT_TOKENS;
+        let is_long = request_class == RequestClass::Long || prefill > LONG_PROMPT_TOKENS;
         self.taken.saturating_add(headroom) < self.slots
             && (!is_long || self.long_prefills < max_long_prefills)
     }
@@ -185,7 +185,7 @@
         health::State::HalfOpen => false,
         health::State::Healthy => {
             needs.has_objective()
-                || occupancy.admits(needs.tier, needs.size_class, needs.work.prefill)
+                || occupancy.admits(needs.tier, needs.request_class, needs.work.prefill)
         }
     };
     target.live
@@ -195,7 +195,7 @@
         && target.estimate.batch(now).saturating_add(reserved) < slots
         && has_prefill_capacity(target, needs, now)
         && finishes_in_time(target, needs, now)
-        && !needs.exclusions.contains(&target.life)
+        && !needs.exclusions.contains(&target.instance)
 }
 
 /// Returns `true` if the target's prefill backlog still allows a timely first token.
@@ -271,7 +271,7 @@
         .map(|(_, target)| *target)
         .chain(holders);
     let choices = candidates.map(|target| {
-        let blocks = affinity.matched_blocks(&target.life, needs.prefix) as u64;
+        let blocks = affinity.matched_blocks(&target.instance, needs.prefix) as u64;
         let saved = (blocks * u64::from(needs.block_tokens)).min(needs.work.prefill);
         let expected_cost = expected_cost(target, needs, saved, now);
         (expected_cost, saved, target)
@@ -288,7 +288,7 @@
         (
             is_far(target),
             target.grant_sequence,
-            targets.get_index_of(&target.life),
+            targets.get_index_of(&target.instance),
         )
     };
     let (_, saved, target) = tied.min_by_key(|(_, _, target)| tie_break(target))?;
@@ -296,7 +296,7 @@
         earliest_completion: earliest_completion(target, needs, saved, now)
             .max(likely_completion(target, needs, saved, now) * MIN_TIME_RATIO),
         prefill: needs.work.prefill - saved,
-        target: target.life.clone(),
+        target: target.instance.clone(),
     })
 }
 
--- a/crates/lilaccrank/src/dispatch/deadline.rs
+++ b/crates/lilaccrank/src/dispatch/deadline.rs
@@ -71,7 +71,7 @@
             if choice::earliest_completion(target, needs, 0, now) <= left {
                 return true;
             }
-            let blocks = self.affinity.matched_blocks(&target.life, needs.prefix) as u64;
+            let blocks = self.affinity.matched_blocks(&target.instance, needs.prefix) as u64;
             let saved = (blocks * u64::from(needs.block_tokens)).min(needs.work.prefill);
             choice::earliest_completion(target, needs, saved, now) <= left
         })
--- a/crates/lilaccrank/src/dispatch/fair.rs
+++ b/crates/lilaccrank/src/dispatch/fair.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use super::queue::{Item, SizeClass};
+use super::queue::{Item, RequestClass};
 use super::work::Work;
 use crate::ids::{CustomerId, RequestId};
 
@@ -26,22 +26,23 @@
 #[derive(Debug, Default)]
 struct Flow {
     backlog: Work,
-    size_classes: [BTreeMap<u64, RequestId>; SizeClass::ALL.len()],
+    request_classes: [BTreeMap<u64, RequestId>; RequestClass::ALL.len()],
     virtual_time: u64,
     weight: u64,
 }
 
 impl Flow {
     fn is_empty(&self) -> bool {
-        self.size_classes.iter().all(BTreeMap::is_empty)
+        self.request_classes.iter().all(BTreeMap::is_empty)
     }
 
     fn weighted_backlog(&self) -> u64 {
         self.backlog.tokens() * VIRTUAL_TIME_PER_TOKEN / self.weight
     }
 
-    fn position(&self, size_class: SizeClass) -> Option<Position> {
-        let (&sequence, request) = self.size_classes[size_class as usize].first_key_value()?;
+    fn position(&self, request_class: RequestClass) -> Option<Position> {
+        let (&sequence, request) =
+            self.request_classes[request_class as usize].first_key_value()?;
         Some(Position {
             virtual_time: self.virtual_time,
             sequence,
@@ -51,7 +52,7 @@
 
     fn newest(&self) -> Option<&RequestId> {
         let last = self
-            .size_classes
+            .request_classes
             .iter()
             .filter_map(BTreeMap::last_key_value);
         last.max_by_key(|(sequence, _)| **sequence)
@@ -64,7 +65,7 @@
 pub struct FairQueue {
     weighted_backlogs: BTreeSet<(u64, CustomerId)>,
     flows: IndexMap<CustomerId, Flow>,
-    heads: [BTreeSet<Position>; SizeClass::ALL.len()],
+    heads: [BTreeSet<Position>; RequestClass::ALL.len()],
     idle: usize,
     len: usize,
     total: Work,
@@ -86,7 +87,8 @@
                 false => flow.virtual_time,
             };
             flow.backlog += item.work;
-            flow.size_classes[item.size_class as usize].insert(sequence, item.request.clone());
+            flow.request_classes[item.request_class as usize]
+                .insert(sequence, item.request.clone());
         });
         self.len += 1;
         self.total += item.work;
@@ -96,7 +98,7 @@
     pub fn remove(&mut self, item: &Item, sequence: u64) {
         self.update(&item.customer, |flow| {
             flow.backlog -= item.work;
-            flow.size_classes[item.size_class as usize].remove(&sequence);
+            flow.request_classes[item.request_class as usize].remove(&sequence);
         });
         self.len -= 1;
         self.total -= item.work;
@@ -116,9 +118,9 @@
         self.virtual_time = self.virtual_time.max(start);
     }
 
-    /// First submission of each customer in a size class, in order.
-    pub fn heads(&self, size_class: SizeClass) -> impl Iterator<Item = &Position> + '_ {
-        self.heads[size_class as usize].iter()
+    /// First submission of each customer in a request class, in order.
+    pub fn heads(&self, request_class: RequestClass) -> impl Iterator<Item = &Position> + '_ {
+        self.heads[request_class as usize].iter()
     }
 
     /// Newest submission of the customer with the largest backlog per weight.
@@ -162,9 +164,9 @@
     /// Updates one flow and keeps the ordered sets consistent with it.
     fn update(&mut self, customer: &str, f: impl FnOnce(&mut Flow)) {
         let flow = self.flows.entry(customer.to_owned()).or_default();
-        for size_class in SizeClass::ALL {
-            if let Some(position) = flow.position(size_class) {
-                self.heads[size_class as usize].remove(&position);
+        for request_class in RequestClass::ALL {
+            if let Some(position) = flow.position(request_class) {
+                self.heads[request_class as usize].remove(&position);
             }
         }
         if !flow.is_empty() {
@@ -172,8 +174,8 @@
                 .remove(&(flow.weighted_backlog(), customer.to_owned()));
         }
         f(flow);
-        for size_class in SizeClass::ALL {
-            self.heads[size_class as usize].extend(flow.position(size_class));
+        for request_class in RequestClass::ALL {
+            self.heads[request_class as usize].extend(flow.position(request_class));
         }
         if !flow.is_empty() {
             self.weighted_backlogs
--- a/crates/lilaccrank/src/dispatch/grants.rs
+++ b/crates/lilaccrank/src/dispatch/grants.rs
@@ -6,15 +6,15 @@
 use super::delay::DELAY_SCAN_LIMIT;
 use super::fair::Position;
 use super::message::{Entry, Unmeetable};
-use super::queue::{Priority, SizeClass};
+use super::queue::{Priority, RequestClass};
 use super::state::{ActiveGrant, State, Waiting, work};
 use super::work::Work;
 use crate::ids::RequestId;
 
 /// EWMA weight of a new sample in the cache miss ratio.
 const CACHE_MISS_GAIN: f64 = 0.05;
-/// Maximum number of submissions tried in a size class whose submissions differ in the targets they
-/// may use.
+/// Maximum number of submissions tried in a request class whose submissions differ in the targets
+/// they may use.
 const RESTRICTED_SCAN_LIMIT: usize = 32;
 /// Time after which an unconfirmed grant expires, because the entry daemon has failed or never
 /// received it. A late entry daemon may still use the grant: the target then runs one request more
@@ -171,24 +171,24 @@
         self.queue.priorities().find_map(|priority| {
             // Resumed answers go first: otherwise their completed prefill and generated tokens
             // would be lost.
-            let resumed = self.next_eligible(priority, SizeClass::Resumed, occupancy, now);
+            let resumed = self.next_eligible(priority, RequestClass::Resumed, occupancy, now);
             let next = resumed.or_else(|| self.next_unstarted(priority, occupancy, now));
             next.map(|position| position.request.clone())
         })
     }
 
-    /// Returns the first submission with an eligible target in a size class whose submissions
+    /// Returns the first submission with an eligible target in a request class whose submissions
     /// differ in the targets they may use.
     fn next_eligible(
         &self,
         priority: Priority,
-        size_class: SizeClass,
+        request_class: RequestClass,
         occupancy: Occupancy,
         now: Instant,
     ) -> Option<&Position> {
         let mut heads = self
             .queue
-            .heads(priority, size_class)
+            .heads(priority, request_class)
             .take(RESTRICTED_SCAN_LIMIT);
         heads.find(|position| self.is_eligible(&position.request, occupancy, now))
     }
@@ -201,12 +201,12 @@
         occupancy: Occupancy,
         now: Instant,
     ) -> Option<&Position> {
-        let excluding = self.next_eligible(priority, SizeClass::Excluding, occupancy, now);
-        let size_classes = [SizeClass::Long, SizeClass::Short].into_iter();
-        let candidates = size_classes.filter_map(|size_class| {
+        let excluding = self.next_eligible(priority, RequestClass::Excluding, occupancy, now);
+        let request_classes = [RequestClass::Long, RequestClass::Short].into_iter();
+        let candidates = request_classes.filter_map(|request_class| {
             let mut heads = self
                 .queue
-                .heads(priority, size_class)
+                .heads(priority, request_class)
                 .take(DELAY_SCAN_LIMIT)
                 .peekable();
             let position = heads.peek()?;
--- a/crates/lilaccrank/src/dispatch/queue.rs
+++ b/crates/lilaccrank/src/dispatch/queue.rs
@@ -17,7 +17,7 @@
 
 /// Classes of submissions that need different targets, so that one class doesn't block another.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum SizeClass {
+pub enum RequestClass {
     /// Resumes an answer on another target.
     Resumed,
     /// Excludes some targets.
@@ -28,8 +28,8 @@
     Short,
 }
 
-impl SizeClass {
-    /// All size classes.
+impl RequestClass {
+    /// All request classes.
     pub const ALL: [Self; 4] = [Self::Resumed, Self::Excluding, Self::Long, Self::Short];
 }
 
@@ -47,8 +47,8 @@
 pub struct Item {
     /// Customer that the request belongs to.
     pub customer: CustomerId,
-    /// Size class that the submission waits in.
-    pub size_class: SizeClass,
+    /// Request class that the submission waits in.
+    pub request_class: RequestClass,
     /// Id of the request.
     pub request: RequestId,
     /// Priority of the submission.
@@ -125,24 +125,29 @@
     /// unused.
     #[must_use]
     pub fn first_competing_priority(&self) -> Option<Priority> {
-        let size_classes = [SizeClass::Excluding, SizeClass::Long, SizeClass::Short];
+        let request_classes = [
+            RequestClass::Excluding,
+            RequestClass::Long,
+            RequestClass::Short,
+        ];
         let has_competing_submission = |priority: &Priority| {
-            let mut size_classes = size_classes.into_iter();
-            size_classes.any(|size_class| self.heads(*priority, size_class).next().is_some())
+            let mut request_classes = request_classes.into_iter();
+            request_classes
+                .any(|request_class| self.heads(*priority, request_class).next().is_some())
         };
         self.priorities().find(has_competing_submission)
     }
 
-    /// First submission of each customer in one size class, in fair order.
+    /// First submission of each customer in one request class, in fair order.
     pub fn heads(
         &self,
         priority: Priority,
-        size_class: SizeClass,
+        request_class: RequestClass,
     ) -> impl Iterator<Item = &Position> + '_ {
         self.priorities
             .get(&priority)
             .into_iter()
-            .flat_map(move |queue| queue.heads(size_class))
+            .flat_map(move |queue| queue.heads(request_class))
     }
 
     /// The submission to shed next: the newest one of the customer with the largest backlog per
--- a/crates/lilaccrank/src/dispatch/reports.rs
+++ b/crates/lilaccrank/src/dispatch/reports.rs
@@ -116,7 +116,8 @@
         events: &[CacheEvent],
     ) {
         if let Some(target) = self.targets.get(target) {
-            self.affinity.apply_events(&target.life, sequence, events);
+            self.affinity
+                .apply_events(&target.instance, sequence, events);
             self.note_capacity_change();
         }
     }
@@ -142,7 +143,7 @@
                 .iter()
                 .any(|listed| TargetInstance::of(listed) == *life)
         };
-        let known = known.filter(|target| is_listed(&target.life));
+        let known = known.filter(|target| is_listed(&target.instance));
         let initial = Estimate::from_median(known.map(|target| &target.estimate), now);
         for listed in nearby {
             let life = TargetInstance::of(listed);
--- a/crates/lilaccrank/src/dispatch/sharing.rs
+++ b/crates/lilaccrank/src/dispatch/sharing.rs
@@ -294,10 +294,10 @@
         for target in self.targets.values_mut() {
             let (running, work) = totals.get(&target.digest).copied().unwrap_or_default();
             if target.rate_limit.is_some() {
-                target.peer_waiter = self.sharing.peer_waiter(&self.cfg.vm, &target.life.id);
+                target.peer_waiter = self.sharing.peer_waiter(&self.cfg.vm, &target.instance.id);
             }
             if target.estimate.set_peer_load(running, work) {
-                let peer_waiter = self.sharing.peer_waiter(&self.cfg.vm, &target.life.id);
+                let peer_waiter = self.sharing.peer_waiter(&self.cfg.vm, &target.instance.id);
                 target.freed_by_peer(peer_waiter, now);
             }
         }
--- a/crates/lilaccrank/src/dispatch/state.rs
+++ b/crates/lilaccrank/src/dispatch/state.rs
@@ -16,7 +16,7 @@
 use super::inflight::InflightPrefixes;
 use super::limits::{CounterKey, Limits};
 use super::message::{Entry, Grant, Refuse, Submission, SubmissionNumber, Unmeetable, Verdict};
-use super::queue::{Item, Priority, Queue, SizeClass};
+use super::queue::{Item, Priority, Queue, RequestClass};
 use super::rate_limit::Share;
 use super::recovery::Handover;
 use super::reservation::Reservation;
@@ -179,7 +179,7 @@
         let queue_deadline = self.queue_deadline(&submission, now);
         self.queue.push(Item {
             customer: submission.customer.clone(),
-            size_class: size_class(&submission),
+            request_class: request_class(&submission),
             request: submission.request.clone(),
             priority: priority(&submission),
             until: [deadline, queue_limit, queue_deadline]
@@ -242,7 +242,7 @@
             data_centre: &self.cfg.data_centre,
             finish_within: finish_within(submission, left),
             exclusions: &submission.exclusions,
-            size_class: size_class(submission),
+            request_class: request_class(submission),
             objective: submission.objective,
             prefix: &submission.prefix,
             priority: priority(submission),
@@ -346,15 +346,15 @@
     }
 }
 
-fn size_class(submission: &Submission) -> SizeClass {
+fn request_class(submission: &Submission) -> RequestClass {
     if submission.partial.is_some() {
-        SizeClass::Resumed
+        RequestClass::Resumed
     } else if !submission.exclusions.is_empty() {
-        SizeClass::Excluding
+        RequestClass::Excluding
     } else if u64::from(submission.prompt_tokens) > choice::LONG_PROMPT_TOKENS {
-        SizeClass::Long
+        RequestClass::Long
     } else {
-        SizeClass::Short
+        RequestClass::Short
     }
 }
 
--- a/crates/lilaccrank/src/dispatch/status.rs
+++ b/crates/lilaccrank/src/dispatch/status.rs
@@ -73,11 +73,11 @@
         let targets = self.targets.values().map(|target| {
             let estimate = &target.estimate;
             TargetStatus {
-                born: target.life.started_ms,
-                cached_blocks: self.affinity.block_count(&target.life),
+                born: target.instance.started_ms,
+                cached_blocks: self.affinity.block_count(&target.instance),
                 decode_outstanding: estimate.outstanding().decode,
                 health: target.health.state(),
-                id: target.life.id.clone(),
+                id: target.instance.id.clone(),
                 live: target.live,
                 prefill_outstanding: estimate.outstanding().prefill,
                 prefill_per_s: estimate.prefill_rate(now),
--- a/crates/lilaccrank/src/dispatch/target.rs
+++ b/crates/lilaccrank/src/dispatch/target.rs
@@ -44,7 +44,7 @@
     /// Data centre of the target.
     pub data_centre: DataCentre,
     /// Name and incarnation of the target.
-    pub life: TargetInstance,
+    pub instance: TargetInstance,
     /// Digest of its incarnation, used in messages between daemons.
     pub digest: InstanceDigest,
     /// Set if the target may get new work.
@@ -69,13 +69,13 @@
 impl Target {
     /// Creates a live target without any history.
     #[must_use]
-    pub fn new(life: TargetInstance, slots: u32, now: Instant) -> Self {
+    pub fn new(instance: TargetInstance, slots: u32, now: Instant) -> Self {
         Self {
-            digest: life.digest(),
+            digest: instance.digest(),
             estimate: Estimate::new(now),
             health: Health::new(now),
             data_centre: DataCentre::default(),
-            life,
+            instance,
             live: true,
             long_prefills: 0,
             freed_by_peer: None,
@@ -89,10 +89,10 @@
 
     /// Creates a target that is not in the configuration and known only from a running request.
     #[must_use]
-    pub fn unlisted(life: TargetInstance, now: Instant) -> Self {
+    pub fn unlisted(instance: TargetInstance, now: Instant) -> Self {
         Self {
             live: false,
-            ..Self::new(life, 0, now)
+            ..Self::new(instance, 0, now)
         }
     }
 
@@ -106,7 +106,7 @@
             burst:% = share.map_or(-1.0, |share| share.burst),
             per_s:% = share.map_or(-1.0, |share| share.per_s),
             target_digest = self.digest,
-            target_id = self.life.id;
+            target_id = self.instance.id;
             "share of a target's rate limit"
         );
         match (&mut self.rate_limit, share) {
--- a/crates/lilaccrank/tests/suite/dispatch_order.rs
+++ b/crates/lilaccrank/tests/suite/dispatch_order.rs
@@ -105,8 +105,8 @@
         self.submission.prompt_tokens == LONG_PROMPT_TOKENS
     }
 
-    /// Returns the size class: requests with different needs of targets do not block each other.
-    fn size_class(&self) -> (bool, bool, bool) {
+    /// Returns the request class: requests with different needs of targets do not block each other.
+    fn request_class(&self) -> (bool, bool, bool) {
         let partial = self.submission.partial.is_some();
         let excluding = !partial && !self.submission.exclusions.is_empty();
         (partial, excluding, self.is_long() && !excluding && !partial)
@@ -230,12 +230,12 @@
     fn next(&self, targets: &[TargetStatus]) -> Option<(String, BTreeSet<String>)> {
         let mut blocked = BTreeSet::new();
         for waiting in self.sorted() {
-            let customer_size_class = (
+            let customer_request_class = (
                 waiting.submission.tier,
                 waiting.submission.customer.clone(),
-                waiting.size_class(),
+                waiting.request_class(),
             );
-            if !blocked.insert(customer_size_class) {
+            if !blocked.insert(customer_request_class) {
                 continue;
             }
             let eligible = self.eligible(waiting, targets);
--- a/crates/lilaccrankd/src/pools/client.rs
+++ b/crates/lilaccrankd/src/pools/client.rs
@@ -22,28 +22,32 @@
 pub use held_grant::HeldGrant;
 pub use outstanding::PoolClient;
 
-use held_grant::WaitingAsk;
+use held_grant::WaitingSubmission;
 
-/// Interval at which an ask without a verdict is repeated. A verdict may be lost with a connection
-/// that dies; a repeated ask with the same number gets the same verdict.
-const ASK_RETRY_INTERVAL: Duration = Duration::from_secs(3);
+/// Interval at which a submission without a verdict is repeated. A verdict may be lost with a
+/// connection that dies; a repeated submission with the same number gets the same verdict.
+const SUBMIT_RETRY_INTERVAL: Duration = Duration::from_secs(3);
 /// Delay before another attempt to reach a dispatcher, since the members may be about to change.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Asks for a target and waits for the verdict. Dropping the future cancels the ask.
-pub async fn ask(daemon: &Rc<Daemon>, pool: &PoolId, ask: Submission) -> Result<HeldGrant, Refuse> {
-    let request = ask.request.clone();
+/// Asks for a target and waits for the verdict. Dropping the future cancels the submission.
+pub async fn submit(
+    daemon: &Rc<Daemon>,
+    pool: &PoolId,
+    submission: Submission,
+) -> Result<HeldGrant, Refuse> {
+    let request = submission.request.clone();
     let (tx, mut rx) = oneshot::channel();
-    daemon.pool_client.insert(pool, ask, tx);
-    let mut waiting = WaitingAsk {
+    daemon.pool_client.insert(pool, submission, tx);
+    let mut waiting = WaitingSubmission {
         daemon,
         pool,
         request: &request,
         is_decided: false,
     };
     let verdict = loop {
-        submit(daemon, &request).await;
-        let retry = monoio::time::sleep(ASK_RETRY_INTERVAL);
+        send_submission(daemon, &request).await;
+        let retry = monoio::time::sleep(SUBMIT_RETRY_INTERVAL);
         pin_mut!(retry);
         match future::select(&mut rx, retry).await {
             Either::Left((verdict, _)) => break verdict,
@@ -70,13 +74,15 @@
     }
 }
 
-/// Sends the ask to the pool's dispatcher until one accepts it.
-async fn submit(daemon: &Rc<Daemon>, request: &RequestId) {
+/// Sends the submission to the pool's dispatcher until one accepts it.
+async fn send_submission(daemon: &Rc<Daemon>, request: &RequestId) {
     loop {
-        let Some((pool, dispatcher, ask)) = daemon.pool_client.next_ask(daemon, request) else {
+        let Some((pool, dispatcher, submission)) =
+            daemon.pool_client.next_submission(daemon, request)
+        else {
             return;
         };
-        let message = PoolMessage::Ask(ask);
+        let message = PoolMessage::Ask(submission);
         if let Some(PoolReply::Accepted { waiting }) =
             send(daemon, &dispatcher, &pool, message).await
         {
--- a/crates/lilaccrankd/src/pools/client/held_grant.rs
+++ b/crates/lilaccrankd/src/pools/client/held_grant.rs
@@ -1,4 +1,4 @@
-//! What an entry holds of a pool: an ask that waits, or a grant in use.
+//! What an entry holds of a pool: a submission that waits, or a grant in use.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,23 +23,23 @@
     pub target: TargetInstance,
 }
 
-/// Cancels an ask when its caller stops waiting.
-pub(super) struct WaitingAsk<'a> {
+/// Cancels a submission when its caller stops waiting.
+pub(super) struct WaitingSubmission<'a> {
     pub(super) daemon: &'a Rc<Daemon>,
     pub(super) pool: &'a PoolId,
     pub(super) request: &'a RequestId,
     pub(super) is_decided: bool,
 }
 
-impl Drop for WaitingAsk<'_> {
+impl Drop for WaitingSubmission<'_> {
     fn drop(&mut self) {
         if self.is_decided {
             return;
         }
-        if let Some(ask) = self.daemon.pool_client.remove(self.request) {
+        if let Some(submission) = self.daemon.pool_client.remove(self.request) {
             let cancel = Cancel {
-                submission: ask.submission,
-                request: ask.request,
+                submission: submission.submission,
+                request: submission.request,
             };
             super::notify(self.daemon, self.pool, PoolMessage::Cancel(cancel));
         }
--- a/crates/lilaccrankd/src/pools/client/outstanding.rs
+++ b/crates/lilaccrankd/src/pools/client/outstanding.rs
@@ -1,4 +1,4 @@
-//! Requests of this daemon at the pools, from the first ask to the end.
+//! Requests of this daemon at the pools, from the first submission to the end.
 
 use std::cell::RefCell;
 use std::time::Instant;
@@ -24,15 +24,15 @@
     /// The incarnation of this daemon in that resync.
     pub(super) me: RefCell<Option<MemberRef>>,
     requests: RefCell<IndexMap<RequestId, Outstanding>>,
-    /// Number of asks that wait in each pool, as its dispatcher last reported.
+    /// Number of submissions that wait in each pool, as its dispatcher last reported.
     pub(super) waiting: RefCell<IndexMap<PoolId, usize>>,
 }
 
-/// One request, from its first ask to its end.
+/// One request, from its first submission to its end.
 struct Outstanding {
-    ask: Submission,
+    submission: Submission,
     deadline: Option<Instant>,
-    /// The dispatcher last asked; only its grant for the last ask counts.
+    /// The dispatcher last asked; only its grant for the last submission counts.
     dispatcher: Option<MemberRef>,
     pool: PoolId,
     running: Option<RunningOn>,
@@ -51,24 +51,29 @@
         self.waiting.borrow().clone()
     }
 
-    pub(super) fn insert(&self, pool: &PoolId, ask: Submission, verdict: oneshot::Sender<Verdict>) {
+    pub(super) fn insert(
+        &self,
+        pool: &PoolId,
+        submission: Submission,
+        verdict: oneshot::Sender<Verdict>,
+    ) {
         let now = Instant::now();
         let outstanding = Outstanding {
-            deadline: ask.deadline.map(|remaining| now + remaining),
+            deadline: submission.deadline.map(|remaining| now + remaining),
             dispatcher: None,
             pool: pool.clone(),
             running: None,
             verdict: Some(verdict),
-            wait_until: ask.wait_at_most.map(|remaining| now + remaining),
-            ask,
+            wait_until: submission.wait_at_most.map(|remaining| now + remaining),
+            submission,
         };
-        let request = outstanding.ask.request.clone();
+        let request = outstanding.submission.request.clone();
         self.requests.borrow_mut().insert(request, outstanding);
     }
 
     pub(super) fn remove(&self, request: &RequestId) -> Option<Submission> {
         let removed = self.requests.borrow_mut().swap_remove(request);
-        removed.map(|outstanding| outstanding.ask)
+        removed.map(|outstanding| outstanding.submission)
     }
 
     /// Applies a verdict. Returns `true` if a grant is used.
@@ -98,8 +103,8 @@
         }
     }
 
-    /// The ask to send now, with its pool and dispatcher; `None` once there is a verdict.
-    pub(super) fn next_ask(
+    /// The submission to send now, with its pool and dispatcher; `None` once there is a verdict.
+    pub(super) fn next_submission(
         &self,
         daemon: &Daemon,
         request: &RequestId,
@@ -114,8 +119,8 @@
         }
         let dispatcher = daemon.duties.dispatcher(&outstanding.pool)?;
         outstanding.assign_to(&dispatcher, &daemon.duties.me());
-        let ask = outstanding.ask.clone();
-        Some((outstanding.pool.clone(), dispatcher, ask))
+        let submission = outstanding.submission.clone();
+        Some((outstanding.pool.clone(), dispatcher, submission))
     }
 
     /// Refuses requests that wait for a pool that the configuration no longer has.
@@ -139,15 +144,15 @@
             if let Some(on) = &outstanding.running {
                 // A running request moves to the current incarnation of this daemon too. Otherwise
                 // it would be dropped with the incarnation that was declared dead.
-                outstanding.ask.entry_incarnation = me.incarnation;
+                outstanding.submission.entry_incarnation = me.incarnation;
                 running.push(Running {
-                    submission: outstanding.ask.clone(),
+                    submission: outstanding.submission.clone(),
                     decoded: on.decoded,
                     target: on.target.clone(),
                 });
             } else {
                 outstanding.assign_to(dispatcher, &me);
-                waiting.push(outstanding.ask.clone());
+                waiting.push(outstanding.submission.clone());
             }
         }
         let entry = Entry {
@@ -163,28 +168,29 @@
 }
 
 impl Outstanding {
-    /// Assigns the ask to `dispatcher`. Asking another dispatcher invalidates the earlier ask.
+    /// Assigns the submission to `dispatcher`. Asking another dispatcher invalidates the earlier
+    /// submission.
     fn assign_to(&mut self, dispatcher: &MemberRef, me: &MemberRef) {
         let is_other_dispatcher = self.dispatcher.as_ref() != Some(dispatcher);
-        let is_new_incarnation = self.ask.entry_incarnation != me.incarnation;
+        let is_new_incarnation = self.submission.entry_incarnation != me.incarnation;
         if is_other_dispatcher || is_new_incarnation {
-            self.ask.submission += 1;
-            self.ask.entry_incarnation = me.incarnation;
+            self.submission.submission += 1;
+            self.submission.entry_incarnation = me.incarnation;
             self.dispatcher = Some(dispatcher.clone());
         }
         let now = Instant::now();
         let remaining = |until: Instant| until.saturating_duration_since(now);
-        self.ask.deadline = self.deadline.map(remaining);
-        self.ask.wait_at_most = self.wait_until.map(remaining);
+        self.submission.deadline = self.deadline.map(remaining);
+        self.submission.wait_at_most = self.wait_until.map(remaining);
     }
 
     fn refuse_removed(&mut self) {
         if let Some(tx) = self.verdict.take() {
             // The receiver may have been dropped.
             let _ = tx.send(Verdict::Refuse(Refuse {
-                submission: self.ask.submission,
+                submission: self.submission.submission,
                 kind: ErrorKind::NoTarget,
-                request: self.ask.request.clone(),
+                request: self.submission.request.clone(),
                 retry_after: None,
                 unmeetable: None,
             }));
@@ -192,13 +198,14 @@
     }
 
     fn apply_verdict(&mut self, from: &MemberRef, verdict: Verdict) -> bool {
-        let ask_number = match &verdict {
+        let submission_number = match &verdict {
             Verdict::Grant(grant) => grant.submission,
             Verdict::Refuse(refuse) => refuse.submission,
         };
-        // A dispatcher that was frozen or partitioned may grant an ask after another one took over.
-        // Using both grants would send the request twice, so only the last one asked counts.
-        if self.ask.submission != ask_number || self.dispatcher.as_ref() != Some(from) {
+        // A dispatcher that was frozen or partitioned may grant a submission after another one took
+        // over. Using both grants would send the request twice, so only the last one asked counts.
+        if self.submission.submission != submission_number || self.dispatcher.as_ref() != Some(from)
+        {
             return false;
         }
         if let (Some(running), Verdict::Grant(grant)) = (&self.running, &verdict) {
--- a/crates/lilaccrankd/src/pools/server.rs
+++ b/crates/lilaccrankd/src/pools/server.rs
@@ -90,14 +90,14 @@
         return PoolReply::Declined;
     };
     match req.message {
-        PoolMessage::Ask(ask) => spawn_decide(daemon, &served, ask),
+        PoolMessage::Ask(submission) => spawn_decide(daemon, &served, submission),
         PoolMessage::Cancel(cancel) => served.dispatcher.cancel(&cancel),
         PoolMessage::Report(report) => served.dispatcher.report(&report),
         PoolMessage::Resync(resync) => {
             let waiting = resync.waiting.clone();
             served.dispatcher.resync(resync);
-            for ask in waiting {
-                spawn_decide(daemon, &served, ask);
+            for submission in waiting {
+                spawn_decide(daemon, &served, submission);
             }
         }
         PoolMessage::Verdict { .. } => {}
@@ -109,14 +109,14 @@
     }
 }
 
-fn spawn_decide(daemon: &Rc<Daemon>, served: &Rc<ServedPool>, ask: Submission) {
-    monoio::spawn(decide(Rc::clone(daemon), Rc::clone(served), ask));
+fn spawn_decide(daemon: &Rc<Daemon>, served: &Rc<ServedPool>, submission: Submission) {
+    monoio::spawn(decide(Rc::clone(daemon), Rc::clone(served), submission));
 }
 
-async fn decide(daemon: Rc<Daemon>, served: Rc<ServedPool>, ask: Submission) {
-    let entry = ask.entry.clone();
+async fn decide(daemon: Rc<Daemon>, served: Rc<ServedPool>, submission: Submission) {
+    let entry = submission.entry.clone();
     let verdict = {
-        let deciding = served.dispatcher.submit(ask);
+        let deciding = served.dispatcher.submit(submission);
         let retired = served.retired();
         pin_mut!(deciding, retired);
         match future::select(deciding, retired).await {
@@ -124,7 +124,8 @@
             Either::Right(_) => return,
         }
     };
-    // This call was cancelled, or replaced by a repetition of the same ask, which gets the verdict.
+    // This call was cancelled, or replaced by a repetition of the same submission, which gets the
+    // verdict.
     if matches!(&verdict, Verdict::Refuse(refuse) if refuse.kind == ErrorKind::Cancelled) {
         return;
     }
--- a/crates/lilaccrankd/src/request/lifecycle.rs
+++ b/crates/lilaccrankd/src/request/lifecycle.rs
@@ -281,9 +281,9 @@
             self.subject(self.route.pool.clone(), None),
         );
         let partial = self.partial_answer(daemon, &history.delivered);
-        let ask = self.ask(daemon, &history.prior, partial);
+        let submission = self.ask(daemon, &history.prior, partial);
         let interrupted = self.interrupted(daemon, buffer);
-        let asking = client::ask(daemon, &self.route.pool, ask);
+        let asking = client::submit(daemon, &self.route.pool, submission);
         pin_mut!(asking, interrupted);
         match future::select(asking, interrupted).await {
             Either::Left((Ok(grant), _)) => {
--- a/crates/lilaccrankd/src/request/migration.rs
+++ b/crates/lilaccrankd/src/request/migration.rs
@@ -14,11 +14,11 @@
 use crate::request::send::SendObserver;
 use crate::request::send_history::PriorSends;
 
-/// Time between a refused ask for a migration and the next one.
+/// Time between a refused submission for a migration and the next one.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Suffix of the request id in an ask for a migration. It distinguishes the ask from the one whose
-/// grant the request still holds.
-const ASK_SUFFIX: &str = "+";
+/// Suffix of the request id in a submission for a migration. It distinguishes the submission
+/// from the one whose grant the request still holds.
+const SUBMISSION_SUFFIX: &str = "+";
 
 impl RoutedRequest {
     /// Completes with the grant of a target that resumes the answer. Never completes if the answer
@@ -43,8 +43,8 @@
             if !observer.daemon.retry_budgets.has_budget(&self.route.pool) {
                 continue;
             }
-            let ask = self.migration_ask(observer, remaining, prior);
-            match client::ask(observer.daemon, &self.route.pool, ask).await {
+            let submission = self.migration_submission(observer, remaining, prior);
+            match client::submit(observer.daemon, &self.route.pool, submission).await {
                 Ok(grant)
                     if observer
                         .daemon
@@ -61,7 +61,7 @@
         }
     }
 
-    fn migration_ask(
+    fn migration_submission(
         &self,
         observer: &SendObserver<'_>,
         remaining: Duration,
@@ -77,10 +77,10 @@
             remaining: Some(remaining),
             tokens: observer.stream_progress().total_tokens(),
         };
-        let ask = self.ask(observer.daemon, &prior, Some(partial));
+        let submission = self.ask(observer.daemon, &prior, Some(partial));
         Submission {
-            request: format!("{}{ASK_SUFFIX}", ask.request),
-            ..ask
+            request: format!("{}{SUBMISSION_SUFFIX}", submission.request),
+            ..submission
         }
     }
 
