--- a/crates/lilaccrank-http/src/peer_link.rs
+++ b/crates/lilaccrank-http/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! Calls to one peer: a task that sends what has gathered as one batch over monoio-http.
+//! Sends calls to a peer in batches over monoio-http, from one task per peer.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,27 +21,27 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::packing::{self, Packed};
+use crate::compression::{self, EncodedBody};
 use crate::tally::{Counted, Tally};
 
-/// Path of the one resource that peers post to.
+/// Path that peers post batches to.
 pub const PATH: &str = "/peer";
-/// Most calls in one batch.
+/// Maximum number of calls in a batch.
 const BATCH_LIMIT: usize = 256;
-/// Time for a new connection.
+/// Maximum time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for one batch. A peer that is alive answers in milliseconds; waiting longer would hold
-/// up every later call behind a connection that has silently died.
+/// Maximum time for one batch. A live peer answers in milliseconds; a longer timeout would block
+/// all later calls behind a connection that failed silently.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// An idle connection is trusted this long; see the client's `PROVED_FOR`.
-const PROVED_FOR: Duration = Duration::from_secs(2);
+/// Maximum time an idle connection is reused; see [`crate::client::MAX_IDLE`].
+const MAX_IDLE: Duration = Duration::from_secs(2);
 
 struct Call<Req, Rep> {
     req: Req,
     tx: oneshot::Sender<Result<Rep>>,
 }
 
-/// A link to one peer; clones share its task, which ends with the last clone.
+/// A handle for calls to a peer; clones share a task, which ends when the last clone is dropped.
 pub struct PeerLink<Req, Rep> {
     tx: mpsc::UnboundedSender<Call<Req, Rep>>,
     vm: VmId,
@@ -61,18 +61,18 @@
     Req: Serialize + 'static,
     Rep: DeserializeOwned + 'static,
 {
-    /// Starts the task of the link to `vm` at `address`; connects at the first call. What passes
-    /// is counted in `tally`.
+    /// Starts the task for calls to `vm` at `address`, which connects at the first call and counts
+    /// its traffic in `tally`.
     #[must_use]
     pub fn start(vm: VmId, address: String, tally: Tally) -> Self {
         let (tx, rx) = mpsc::unbounded();
-        let peer = Peer {
+        let task = LinkTask {
             address,
             connection: None,
             tally,
             vm: vm.clone(),
         };
-        monoio::spawn(peer.run(rx));
+        monoio::spawn(task.run(rx));
         Self { tx, vm }
     }
 
@@ -80,7 +80,8 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Unreachable`] if nothing was sent, [`Error::NoAnswer`] if it may have been.
+    /// Returns [`Error::Unreachable`] if nothing was sent, [`Error::NoAnswer`] if the request may
+    /// have been.
     pub async fn call(&self, req: Req) -> Result<Rep> {
         let (tx, rx) = oneshot::channel();
         let unreachable = || Error::Unreachable(self.vm.clone());
@@ -94,17 +95,17 @@
 struct Connection {
     decoder: ResponseDecoder<Counted<TcpOwnedReadHalf>>,
     encoder: GenericEncoder<Counted<TcpOwnedWriteHalf>>,
-    proved: std::time::Instant,
+    last_used: std::time::Instant,
 }
 
-struct Peer {
+struct LinkTask {
     address: String,
     connection: Option<Connection>,
     tally: Tally,
     vm: VmId,
 }
 
-impl Peer {
+impl LinkTask {
     async fn run<Req, Rep>(mut self, mut rx: mpsc::UnboundedReceiver<Call<Req, Rep>>)
     where
         Req: Serialize,
@@ -116,8 +117,8 @@
                 let Ok(call) = rx.try_recv() else { break };
                 calls.push_back(call);
             }
-            // A caller that stopped waiting needs no reply; its message still goes out, since
-            // a cancel or a report must not depend on who waits.
+            // Calls whose caller has stopped waiting are still sent: a cancellation or a report
+            // must reach the peer even if nobody waits for the reply.
             let (reqs, txs): (Vec<_>, Vec<_>) = calls.into_iter().map(|c| (c.req, c.tx)).unzip();
             match self.exchange(&reqs).await {
                 Ok(replies) => {
@@ -127,7 +128,7 @@
                 }
                 Err(e) => {
                     self.connection = None;
-                    log::debug!("call to a peer failed: {e}");
+                    log::debug!("batch to a peer failed: {e}");
                     for tx in txs {
                         let _ = tx.send(Err(e.clone()));
                     }
@@ -146,31 +147,31 @@
         let Ok(buf) = rmp_serde::to_vec_named(reqs) else {
             return Err(unreachable());
         };
-        let kept = self
+        let reusable = self
             .connection
             .take()
-            .filter(|c| c.proved.elapsed() < PROVED_FOR);
-        let mut connection = match kept {
+            .filter(|c| c.last_used.elapsed() < MAX_IDLE);
+        let mut connection = match reusable {
             Some(connection) => connection,
             None => connect(&self.address, &self.tally)
                 .await
                 .ok_or_else(unreachable)?,
         };
-        self.tally.send_messages(reqs.len());
+        self.tally.count_sent_messages(reqs.len());
         let body = monoio::time::timeout(EXCHANGE_TIMEOUT, connection.post(buf))
             .await
             .ok()
             .flatten()
             .ok_or_else(no_answer)?;
         let replies: Vec<Rep> = rmp_serde::from_slice(&body).map_err(|e| {
-            log::warn!("a peer's reply can't be read: {e}");
+            log::warn!("can't decode replies from a peer: {e}");
             no_answer()
         })?;
         if replies.len() != reqs.len() {
             return Err(no_answer());
         }
-        self.tally.receive_messages(replies.len());
-        connection.proved = std::time::Instant::now();
+        self.tally.count_received_messages(replies.len());
+        connection.last_used = std::time::Instant::now();
         self.connection = Some(connection);
         Ok(replies)
     }
@@ -186,34 +187,34 @@
     Some(Connection {
         decoder: ResponseDecoder::new(Counted::new(r, tally.clone())),
         encoder: GenericEncoder::new(Counted::new(w, tally.clone())),
-        proved: std::time::Instant::now(),
+        last_used: std::time::Instant::now(),
     })
 }
 
 impl Connection {
     async fn post(&mut self, buf: Vec<u8>) -> Option<Vec<u8>> {
-        let packed = packing::pack(buf);
-        let payload = FixedPayload::<Bytes, PayloadError>::new(packed.buf.into());
+        let encoded = compression::compress(buf);
+        let payload = FixedPayload::<Bytes, PayloadError>::new(encoded.buf.into());
         let mut req = Builder::new()
             .method(Method::POST)
             .uri(PATH)
             .header(http::header::HOST, "peer")
             .body(Payload::Fixed(payload))
             .ok()?;
-        if packed.deflated {
-            packing::mark(req.headers_mut());
+        if encoded.deflated {
+            compression::set_deflated(req.headers_mut());
         }
         self.encoder.send_and_flush(req).await.ok()?;
         let res = self.decoder.next().await?.ok()?;
         if !res.status().is_success() {
             return None;
         }
-        let deflated = packing::is_marked(res.headers());
+        let deflated = compression::is_deflated(res.headers());
         let Payload::Fixed(mut payload) = res.into_body() else {
             return None;
         };
         self.decoder.fill_payload().await.ok()?;
         let buf = payload.next().await?.ok()?.into();
-        packing::unpack(Packed { buf, deflated }).ok()
+        compression::decompress(EncodedBody { buf, deflated }).ok()
     }
 }
--- a/crates/lilaccrank-http/src/server.rs
+++ b/crates/lilaccrank-http/src/server.rs
@@ -1,4 +1,4 @@
-//! Serves HTTP/1.1 over hyper: one task for each connection.
+//! Serves HTTP/1.1 over hyper, with one task per connection.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -20,74 +20,75 @@
 use monoio_compat::hyper::{MonoioIo, MonoioTimer};
 
 use crate::body::Body;
-use crate::head_pace::{HeadPace, Paced, PacedBody};
+use crate::head_timer::{GuardedBody, HeadTimer, TimedIo};
 
-/// Result of listening.
+/// Result of binding a listener.
 pub type Result<T, E = io::Error> = std::result::Result<T, E>;
 
-/// Smallest buffer that the library takes for a head.
-const HEAD_FLOOR: usize = 8 * 1024;
-/// Wait after a failed accept, which mostly means that no descriptor is free.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
+/// Minimum read buffer that hyper accepts, in bytes.
+const MIN_HEAD_BUFFER: usize = 8 * 1024;
+/// Delay after a failed accept, which usually means that no file descriptor is free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a caller may send in a head, and how long it may take.
+/// Limits on request heads and idle connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeadLimits {
-    /// Largest head in bytes.
+    /// Maximum size of a head in bytes.
     pub head_bytes: usize,
-    /// Longest time from the first byte of a head to its last.
-    pub head_time: Duration,
-    /// Longest time without a request on an open connection.
-    pub idle: Duration,
+    /// Maximum time from the first byte of a head to the last.
+    pub head_timeout: Duration,
+    /// Maximum time an open connection may stay without a request.
+    pub idle_timeout: Duration,
 }
 
 impl Default for HeadLimits {
-    /// Ten seconds are ample for a head over any network, and no caller waits longer between two
-    /// requests that belong together; 64 KiB hold every head that common clients send.
+    /// 10 s is ample for a head over any network, and callers don't pause longer between related
+    /// requests. 64 KiB holds any head that common clients send.
     fn default() -> Self {
         Self {
             head_bytes: 64 * 1024,
-            head_time: Duration::from_secs(10),
-            idle: Duration::from_secs(10),
+            head_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(10),
         }
     }
 }
 
-/// Tells a server to finish what it has and counts what is still open.
+/// Controls the graceful shutdown of a server and counts its open connections.
 #[derive(Clone, Default)]
-pub struct Closing {
-    inner: Rc<ClosingInner>,
+pub struct ShutdownHandle {
+    inner: Rc<ShutdownState>,
 }
 
 #[derive(Default)]
-struct ClosingInner {
+struct ShutdownState {
     changed: Event,
     closing: Cell<bool>,
     connections: Cell<usize>,
-    winding_down: Cell<bool>,
+    draining: Cell<bool>,
 }
 
-impl Closing {
-    /// From now on each connection ends with its next answer, which says so. Connections are
-    /// still accepted, and those that rest are left to their callers: one that is closed from
-    /// this side could have the next request on its way already.
-    pub fn wind_down(&self) {
-        self.inner.winding_down.set(true);
+impl ShutdownHandle {
+    /// Ends each connection after its next response, which carries `Connection: close`.
+    ///
+    /// New connections are still accepted. Idle connections stay open, because the caller's next
+    /// request could already be in flight when the server closes one.
+    pub fn drain(&self) {
+        self.inner.draining.set(true);
     }
 
-    /// Takes no new connections; the open ones end after the answer in progress.
+    /// Stops accepting connections; open ones end after the response in progress.
     pub fn close(&self) {
         self.inner.closing.set(true);
         self.inner.changed.notify(usize::MAX);
     }
 
-    /// Connections still open.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn connections(&self) -> usize {
         self.inner.connections.get()
     }
 
-    async fn closed(&self) {
+    async fn wait_for_close(&self) {
         while !self.inner.closing.get() {
             let listener = self.inner.changed.listen();
             if !self.inner.closing.get() {
@@ -97,34 +98,35 @@
     }
 }
 
-/// Binds `address` for this process alone.
+/// Binds `address` exclusively for this process.
 ///
-/// The runtime's own default lets a second process bind the same address; two daemons would
-/// then share connections without a word.
+/// monoio sets `SO_REUSEPORT` by default, which lets a second process bind the same address; two
+/// daemons would then silently share connections.
 ///
 /// # Errors
 ///
-/// If the address is taken.
+/// Returns an error if the address can't be bound, for example because it is in use.
 pub fn bind(address: SocketAddr) -> Result<TcpListener> {
     let options = ListenerOpts::new().reuse_port(false);
     TcpListener::bind_with_config(address, &options)
 }
 
-/// Accepts connections until `closing` is set. The handler's future is dropped when its caller
-/// goes away.
-pub async fn serve<H, F>(listener: TcpListener, closing: Closing, handler: H)
+/// Accepts connections until `shutdown` is closed. The handler's future is dropped when its caller
+/// disconnects.
+pub async fn serve<H, F>(listener: TcpListener, shutdown: ShutdownHandle, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
     let limits = Rc::new(Cell::new(HeadLimits::default()));
-    serve_within(listener, closing, limits, handler).await;
+    serve_with_limits(listener, shutdown, limits, handler).await;
 }
 
-/// Like [`serve`], with limits that may change; each connection keeps those of its start.
-pub async fn serve_within<H, F>(
+/// Like [`serve`], with limits that may change; each connection keeps those in effect when it was
+/// accepted.
+pub async fn serve_with_limits<H, F>(
     listener: TcpListener,
-    closing: Closing,
+    shutdown: ShutdownHandle,
     limits: Rc<Cell<HeadLimits>>,
     handler: H,
 ) where
@@ -132,7 +134,7 @@
     F: Future<Output = Response<Body>> + 'static,
 {
     loop {
-        let closed = closing.closed();
+        let closed = shutdown.wait_for_close();
         pin_mut!(closed);
         let accept = listener.accept();
         pin_mut!(accept);
@@ -141,36 +143,40 @@
                 let handler = handler.clone();
                 monoio::spawn(serve_connection(
                     stream,
-                    closing.clone(),
+                    shutdown.clone(),
                     limits.get(),
                     handler,
                 ));
             }
             Either::Left((Err(e), _)) => {
                 log::warn!("accept failed: {e}");
-                monoio::time::sleep(ACCEPT_AGAIN).await;
+                monoio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
             Either::Right(_) => return,
         }
     }
 }
 
-async fn serve_connection<H, F>(stream: TcpStream, closing: Closing, limits: HeadLimits, handler: H)
-where
+async fn serve_connection<H, F>(
+    stream: TcpStream,
+    shutdown: ShutdownHandle,
+    limits: HeadLimits,
+    handler: H,
+) where
     H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<Body>> + 'static,
 {
-    let count = &closing.inner.connections;
+    let count = &shutdown.inner.connections;
     count.set(count.get() + 1);
-    if let Err(e) = drive(stream, &closing, limits, handler).await {
+    if let Err(e) = run_connection(stream, &shutdown, limits, handler).await {
         log::debug!("connection ended: {e}");
     }
     count.set(count.get() - 1);
 }
 
-async fn drive<H, F>(
+async fn run_connection<H, F>(
     stream: TcpStream,
-    closing: &Closing,
+    shutdown: &ShutdownHandle,
     limits: HeadLimits,
     handler: H,
 ) -> Result<(), crate::body::BoxError>
@@ -180,37 +186,37 @@
 {
     stream.set_nodelay(true)?;
     let io = MonoioIo::new(monoio::io::IntoPollIo::into_poll_io(stream)?);
-    let pace = HeadPace::default();
-    let io = Paced::new(io, pace.clone());
+    let head_timer = HeadTimer::default();
+    let io = TimedIo::new(io, head_timer.clone());
     let service = service::service_fn(|req| {
-        let in_request = pace.request();
+        let guard = head_timer.begin_request();
         let answer = handler(req);
         async move {
             let mut res = answer.await;
-            if closing.inner.winding_down.get() {
+            if shutdown.inner.draining.get() {
                 let close = HeaderValue::from_static("close");
                 res.headers_mut().insert(CONNECTION, close);
             }
-            Ok::<_, Infallible>(res.map(|body| PacedBody::new(body, in_request)))
+            Ok::<_, Infallible>(res.map(|body| GuardedBody::new(body, guard)))
         }
     });
     let connection = http1::Builder::new()
         .timer(MonoioTimer)
-        .header_read_timeout(limits.idle)
-        .max_buf_size(limits.head_bytes.max(HEAD_FLOOR))
+        .header_read_timeout(limits.idle_timeout)
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER))
         .serve_connection(io, service);
     pin_mut!(connection);
-    let too_slow = pace.too_slow(limits.head_time);
-    let closed = closing.closed();
-    pin_mut!(closed, too_slow);
-    let ending = future::select(closed, too_slow);
+    let timed_out = head_timer.timed_out(limits.head_timeout);
+    let closed = shutdown.wait_for_close();
+    pin_mut!(closed, timed_out);
+    let ending = future::select(closed, timed_out);
     let result = match future::select(connection.as_mut(), ending).await {
         Either::Left((result, _)) => result,
         Either::Right((Either::Left(_), _)) => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
-        Either::Right((Either::Right(_), _)) => return Err("the head came too slowly".into()),
+        Either::Right((Either::Right(_), _)) => return Err("the request head took too long".into()),
     };
     result.map_err(Into::into)
 }
