--- a/crates/lilaccrank/src/dispatch/status.rs
+++ b/crates/lilaccrank/src/dispatch/status.rs
@@ -20,16 +20,16 @@
     pub running: usize,
     /// Targets of the pool.
     pub targets: Vec<TargetStatus>,
-    /// Waiting asks by tier; tiers without any are left out.
+    /// Waiting submissions by tier; tiers without any are left out.
     pub waiting: Vec<TierStatus>,
 }
 
-/// Waiting asks of one tier.
+/// Waiting submissions of one tier.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct TierStatus {
     /// The tier.
     pub tier: Tier,
-    /// Number of waiting asks.
+    /// Number of waiting submissions.
     pub waiting: usize,
 }
 
@@ -73,11 +73,11 @@
         let targets = self.targets.values().map(|target| {
             let estimate = &target.estimate;
             TargetStatus {
-                born: target.life.started_ms,
-                cached_blocks: self.affinity.block_count(&target.life),
+                born: target.instance.started_ms,
+                cached_blocks: self.affinity.block_count(&target.instance),
                 decode_outstanding: estimate.outstanding().decode,
                 health: target.health.state(),
-                id: target.life.id.clone(),
+                id: target.instance.id.clone(),
                 live: target.live,
                 prefill_outstanding: estimate.outstanding().prefill,
                 prefill_per_s: estimate.prefill_rate(now),
--- a/crates/lilaccrank/src/dispatch/target.rs
+++ b/crates/lilaccrank/src/dispatch/target.rs
@@ -9,25 +9,26 @@
 use crate::ids::DataCentre;
 use crate::target_instance::{InstanceDigest, TargetInstance};
 
-/// Time for which a slot freed by another daemon is left to the daemon whose ask goes first.
+/// Time for which a slot freed by another daemon is left to the daemon whose submission goes first.
 ///
 /// All daemons of a cell learn of a free slot at the same time. If each of them used it, most of
-/// these asks would wait in the target's own queue, which ignores tiers: in a burst, a third of the
-/// grants went to targets that were already full. The grant of the first daemon is announced within
-/// 25 ms; if that daemon doesn't use the slot, it stays free for the rest of this time.
+/// these submissions would wait in the target's own queue, which ignores tiers: in a burst, a third
+/// of the grants went to targets that were already full. The grant of the first daemon is announced
+/// within 25 ms; if that daemon doesn't use the slot, it stays free for the rest of this time.
 const FREED_SLOT_HOLD: Duration = Duration::from_millis(40);
 
-/// First waiting ask of the other daemons.
+/// First waiting submission of the other daemons.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PeerWaiter {
-    /// Set if it goes before asks of this daemon with the same priority, by a draw per target.
+    /// Set if it goes before submissions of this daemon with the same priority, decided by a
+    /// rendezvous hash per target.
     pub wins_ties: bool,
-    /// Priority of the ask.
+    /// Priority of the submission.
     pub priority: Priority,
 }
 
 impl PeerWaiter {
-    /// Returns `true` if it goes before an ask of this daemon with this priority.
+    /// Returns `true` if it goes before a submission of this daemon with this priority.
     fn precedes(self, priority: Priority) -> bool {
         self.priority < priority || (self.priority == priority && self.wins_ties)
     }
@@ -43,18 +44,19 @@
     /// Data centre of the target.
     pub data_centre: DataCentre,
     /// Name and incarnation of the target.
-    pub life: TargetInstance,
+    pub instance: TargetInstance,
     /// Digest of its incarnation, used in messages between daemons.
     pub digest: InstanceDigest,
     /// Set if the target may get new work.
     pub live: bool,
     /// Number of its requests with a long prompt and no first token yet.
     pub long_prefills: u32,
-    /// When another daemon last freed capacity, and the first ask waiting elsewhere at that time.
+    /// When another daemon last freed capacity, and the first submission waiting elsewhere at that
+    /// time.
     pub(super) freed_by_peer: Option<(Instant, PeerWaiter)>,
     /// The cell's share of the rate limit that the target advertises.
     pub rate_limit: Option<RateLimit>,
-    /// First waiting ask of the other daemons of the cell.
+    /// First waiting submission of the other daemons of the cell.
     pub peer_waiter: Option<PeerWaiter>,
     /// Cumulative number of requests that this daemon has sent to it.
     pub sent: u32,
@@ -67,13 +69,13 @@
 impl Target {
     /// Creates a live target without any history.
     #[must_use]
-    pub fn new(life: TargetInstance, slots: u32, now: Instant) -> Self {
+    pub fn new(instance: TargetInstance, slots: u32, now: Instant) -> Self {
         Self {
-            digest: life.digest(),
+            digest: instance.digest(),
             estimate: Estimate::new(now),
             health: Health::new(now),
             data_centre: DataCentre::default(),
-            life,
+            instance,
             live: true,
             long_prefills: 0,
             freed_by_peer: None,
@@ -87,10 +89,10 @@
 
     /// Creates a target that is not in the configuration and known only from a running request.
     #[must_use]
-    pub fn unlisted(life: TargetInstance, now: Instant) -> Self {
+    pub fn unlisted(instance: TargetInstance, now: Instant) -> Self {
         Self {
             live: false,
-            ..Self::new(life, 0, now)
+            ..Self::new(instance, 0, now)
         }
     }
 
@@ -104,7 +106,7 @@
             burst:% = share.map_or(-1.0, |share| share.burst),
             per_s:% = share.map_or(-1.0, |share| share.per_s),
             target_digest = self.digest,
-            target_id = self.life.id;
+            target_id = self.instance.id;
             "share of a target's rate limit"
         );
         match (&mut self.rate_limit, share) {
@@ -114,7 +116,7 @@
     }
 
     /// Returns `true` if the rate limit allows a request in addition to those reserved for earlier
-    /// tiers and for a waiting ask of another daemon that goes first.
+    /// tiers and for a waiting submission of another daemon that goes first.
     #[must_use]
     pub fn is_within_rate_limit(
         &self,
@@ -142,8 +144,8 @@
         self.freed_by_peer = peer_waiter.map(|peer_waiter| (now, peer_waiter));
     }
 
-    /// Returns `true` if capacity that another daemon has just freed is left to an ask waiting
-    /// elsewhere.
+    /// Returns `true` if capacity that another daemon has just freed is left to a submission
+    /// waiting elsewhere.
     #[must_use]
     pub fn is_held_for_peer(&self, priority: Priority, now: Instant) -> bool {
         self.freed_by_peer.is_some_and(|(at, peer_waiter)| {
--- a/crates/lilaccrankd/src/request/lifecycle.rs
+++ b/crates/lilaccrankd/src/request/lifecycle.rs
@@ -60,7 +60,7 @@
         async move { settle(&daemon, &routed, &result, key, &buffer).await }
     });
     // A caller that repeats its request at once should find the key settled. The timeout keeps an
-    // unreachable keeper from delaying the end of the answer.
+    // unreachable key owner from delaying the end of the answer.
     let _ = monoio::time::timeout(SETTLE_TIMEOUT, settling).await;
     let total_ms = routed.elapsed_ms();
     daemon
@@ -281,9 +281,9 @@
             self.subject(self.route.pool.clone(), None),
         );
         let partial = self.partial_answer(daemon, &history.delivered);
-        let ask = self.ask(daemon, &history.prior, partial);
+        let submission = self.ask(daemon, &history.prior, partial);
         let interrupted = self.interrupted(daemon, buffer);
-        let asking = client::ask(daemon, &self.route.pool, ask);
+        let asking = client::submit(daemon, &self.route.pool, submission);
         pin_mut!(asking, interrupted);
         match future::select(asking, interrupted).await {
             Either::Left((Ok(grant), _)) => {
--- a/crates/lilaccrankd/src/shutdown.rs
+++ b/crates/lilaccrankd/src/shutdown.rs
@@ -5,7 +5,7 @@
 use futures::future::{self, Either};
 use futures::pin_mut;
 use lilaccrank::timeline::{EventKind, Subject};
-use lilaccrank_http::server::Closing;
+use lilaccrank_http::server::ShutdownHandle;
 
 use crate::daemon::Daemon;
 use crate::signals::Signals;
@@ -18,7 +18,7 @@
 
 /// Refuses new requests and waits for those in progress, until the time limit or a second signal.
 /// The servers are closed one after the other, the one for callers first.
-pub async fn run(daemon: &Daemon, servers: [&Closing; 2], signals: &Signals) {
+pub async fn run(daemon: &Daemon, servers: [&ShutdownHandle; 2], signals: &Signals) {
     daemon.leaving.set(true);
     let serving = Duration::from_millis(daemon.cfg.shutdown_serving_ms);
     daemon.refusing.set(serving.is_zero());
@@ -26,7 +26,7 @@
     daemon.membership.leave().await;
     // Callers keep arriving until the load balancer notices, and on open connections. Refusing
     // them would only delay them.
-    servers[0].wind_down();
+    servers[0].drain();
     monoio::time::sleep(serving).await;
     daemon.refusing.set(true);
     let done = drain(daemon, servers);
@@ -50,7 +50,7 @@
 ///
 /// Other daemons read answers from the admin server for callers that repeated a key there. Ending
 /// during such a read would break the answer of a caller that is not affected by this shutdown.
-async fn drain(daemon: &Daemon, servers: [&Closing; 2]) {
+async fn drain(daemon: &Daemon, servers: [&ShutdownHandle; 2]) {
     while daemon.in_progress() > 0 {
         monoio::time::sleep(POLL_INTERVAL).await;
     }
